--- a/crates/hollyhook/tests/processes/docs.rs
+++ b/crates/hollyhook/tests/processes/docs.rs
@@ -1,7 +1,7 @@
 use std::fs;
 use std::path::Path;
 
-use hollyhook_core::{ErrorKind, RelayNote, answer_for};
+use hollyhook_core::{ErrorKind, RelayCounter, answer_for};
 use hollyhook_settings::{GatewaySettings, ProcessSettings, SettingErrors, SettingFile, SiteSettings};
 
 fn page(name: &str) -> String {
@@ -53,7 +53,7 @@
 #[test]
 fn operators_page_has_every_note() {
     let page = page("OPERATORS.md");
-    for note in RelayNote::ALL {
+    for note in RelayCounter::ALL {
         assert!(page.contains(&format!("`{}`", note.label())), "docs/OPERATORS.md does not have {}", note.label());
     }
 }
--- a/crates/hollyhook_command/src/view/trace_view.rs
+++ b/crates/hollyhook_command/src/view/trace_view.rs
@@ -5,7 +5,7 @@
 
 use clap::Args;
 use eyre::{OptionExt, Result, WrapErr};
-use hollyhook_core::{GenerationId, OpenMode, RelayAction, RelayTrace, TimePoint, TraceRun};
+use hollyhook_core::{GenerationId, OpenMode, RelayAction, RelayTrace, TimePoint, TraceReplay};
 use hollyhook_wire::connect_peer;
 
 /// Which generation to explain.
@@ -51,18 +51,18 @@
         let text = std::fs::read_to_string(path).wrap_err_with(|| format!("can't read {}", path.display()))?;
         let trace: RelayTrace = text.parse()?;
         let run = trace.replay()?;
-        let fits = trace.stated() == Some(&run.outcome);
+        let fits = trace.expected_outcome() == Some(&run.outcome);
         is_equal &= fits;
         println!("{}: {}", path.display(), if fits { "as stated" } else { "NOT as stated" });
         if !fits {
-            println!("  stated: {}", serde_json::to_string(&trace.stated())?);
+            println!("  stated: {}", serde_json::to_string(&trace.expected_outcome())?);
             println!("  now:    {}", serde_json::to_string(&run.outcome)?);
         }
     }
     Ok(if is_equal { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn print_steps(run: &TraceRun) {
+fn print_steps(run: &TraceReplay) {
     let start = run.actions.first().map_or(TimePoint::ZERO, |(at, _)| *at);
     let mut tokens = 0;
     for (at, action) in &run.actions {
@@ -105,7 +105,7 @@
         }
         RelayAction::Complete { reason, .. } => format!("whole; the model ended with `{reason}`"),
         RelayAction::Fail { kind, delivered } => format!("ended with `{kind}` after {delivered} tokens"),
-        RelayAction::Note(note) => format!("noted: {}", note.label()),
-        RelayAction::Deliver { .. } | RelayAction::Wake { .. } | RelayAction::Close { .. } => return None,
+        RelayAction::Count(note) => format!("noted: {}", note.label()),
+        RelayAction::Deliver { .. } | RelayAction::SetTimer { .. } | RelayAction::Close { .. } => return None,
     })
 }
--- a/crates/hollyhook_core/src/cursor/cursor_seal.rs
+++ b/crates/hollyhook_core/src/cursor/cursor_seal.rs
@@ -48,7 +48,7 @@
 
     /// The same seal that also opens cursors of an earlier key.
     #[must_use]
-    pub fn previous(mut self, key: &CursorKey) -> Self {
+    pub fn previous_key(mut self, key: &CursorKey) -> Self {
         self.previous.push(XChaCha20Poly1305::new(&key.0.into()));
         self
     }
--- a/crates/hollyhook_core/src/generation/generation_relay/loss.rs
+++ b/crates/hollyhook_core/src/generation/generation_relay/loss.rs
@@ -4,8 +4,8 @@
 
 use super::GenerationRelay;
 use crate::{
-    AttemptNumber, EndpointRefusal, ErrorKind, OpenMode, Patience, ProbeReport, RelayAction, RelayNote, RelayPhase,
-    TimePoint,
+    AttemptNumber, EndpointRefusal, ErrorKind, OpenMode, ProbeReport, RelayAction, RelayCounter, RelayPhase,
+    StreamTimeouts, TimePoint,
 };
 
 impl GenerationRelay {
@@ -13,7 +13,7 @@
         if !self.is_current(attempt) || !self.is_listening() {
             return;
         }
-        self.note(RelayNote::RefusalSeen);
+        self.note(RelayCounter::RefusalSeen);
         match refusal {
             EndpointRefusal::Invalid => self.fail(ErrorKind::EndpointRefused),
             EndpointRefusal::Superseded => self.fail(ErrorKind::Superseded),
@@ -33,7 +33,7 @@
         };
         self.phase = RelayPhase::Probing;
         self.actions.push(RelayAction::Probe { attempt: self.attempt, endpoint });
-        self.actions.push(RelayAction::Wake { at: now + timeout });
+        self.actions.push(RelayAction::SetTimer { at: now + timeout });
     }
 
     pub(super) fn probed(&mut self, now: TimePoint, attempt: AttemptNumber, report: ProbeReport) {
@@ -49,13 +49,13 @@
             return self.reattach(now);
         }
         if self.has_token && now.since(self.last_progress) >= self.policy.stall_limit {
-            self.note(RelayNote::StallLeft);
+            self.note(RelayCounter::StallLeft);
             return self.leave(now, true);
         }
-        self.note(RelayNote::ProbeWaited);
+        self.note(RelayCounter::ProbeWaited);
         self.phase = RelayPhase::Streaming;
         self.last_heard = now;
-        self.actions.push(RelayAction::Wake { at: now + self.policy.silence_floor });
+        self.actions.push(RelayAction::SetTimer { at: now + self.policy.silence_floor });
     }
 
     pub(super) fn reattach(&mut self, now: TimePoint) {
@@ -67,7 +67,7 @@
         if !self.take_attempt() {
             return;
         }
-        self.note(RelayNote::Reattached);
+        self.note(RelayCounter::Reattached);
         self.open(now, endpoint, OpenMode::Attach { position: self.received });
     }
 
@@ -92,7 +92,7 @@
         }
     }
 
-    pub(super) fn judge_silence(&mut self, now: TimePoint, patience: Patience) {
+    pub(super) fn judge_silence(&mut self, now: TimePoint, patience: StreamTimeouts) {
         let limit = match (self.is_accepted, self.has_token) {
             (false, _) => self.policy.open_timeout,
             (true, false) => patience.first_token,
@@ -100,14 +100,14 @@
         };
         let suspect_at = self.last_heard + limit;
         if now < suspect_at {
-            return self.actions.push(RelayAction::Wake { at: suspect_at });
+            return self.actions.push(RelayAction::SetTimer { at: suspect_at });
         }
         if !self.is_accepted {
             // There is nothing at this endpoint that a probe could save.
-            self.note(RelayNote::OpenTimedOut);
+            self.note(RelayCounter::OpenTimedOut);
             return self.leave(now, true);
         }
-        self.note(RelayNote::SilenceSuspected);
+        self.note(RelayCounter::SilenceSuspected);
         self.probe(now, self.policy.probe_timeout);
     }
 
--- a/crates/hollyhook_core/src/generation/generation_relay/mod.rs
+++ b/crates/hollyhook_core/src/generation/generation_relay/mod.rs
@@ -5,8 +5,8 @@
 mod stream;
 
 use crate::{
-    AttemptNumber, EndpointId, ErrorKind, OpenMode, Patience, PrefixDigest, RelayAction, RelayEvent, RelayNote,
-    RelayPhase, RelayPolicy, TimePoint, TokenLog,
+    AttemptNumber, EndpointId, ErrorKind, OpenMode, PrefixDigest, RelayAction, RelayCounter, RelayEvent, RelayPhase,
+    RelayPolicy, StreamTimeouts, TimePoint, TokenLog,
 };
 
 /// Carries one generation to its caller over as many attempts as it takes.
@@ -128,7 +128,7 @@
         match event {
             RelayEvent::Started => self.start(now),
             RelayEvent::CallerLeft => self.leave_caller(),
-            RelayEvent::TimerFired { patience } => self.wake(now, patience),
+            RelayEvent::TimerFired { timeouts } => self.wake(now, timeouts),
             RelayEvent::Assigned { attempt, endpoint } => self.assigned(now, attempt, endpoint),
             RelayEvent::Unassigned { attempt, .. } => self.unassigned(now, attempt),
             RelayEvent::Opened { attempt } => {
@@ -141,13 +141,13 @@
             RelayEvent::EndArrived { attempt, position, reason } => self.end(now, attempt, position, reason),
             RelayEvent::ConnectionLost { attempt } => {
                 if self.is_current(attempt) && self.phase == RelayPhase::Streaming {
-                    self.note(RelayNote::ResetSeen);
+                    self.note(RelayCounter::ResetSeen);
                     self.reset(now);
                 }
             }
             RelayEvent::Unreachable { attempt } => {
                 if self.is_current(attempt) && self.phase == RelayPhase::Streaming {
-                    self.note(RelayNote::ConnectFailed);
+                    self.note(RelayCounter::ConnectFailed);
                     self.leave(now, false);
                 }
             }
@@ -171,7 +171,7 @@
         self.assign();
     }
 
-    fn wake(&mut self, now: TimePoint, patience: Patience) {
+    fn wake(&mut self, now: TimePoint, patience: StreamTimeouts) {
         match self.phase {
             RelayPhase::Searching => self.search_again(now),
             RelayPhase::Probing => self.leave(now, true),
@@ -196,8 +196,8 @@
         self.actions.push(RelayAction::Fail { kind, delivered: self.delivered });
     }
 
-    fn note(&mut self, note: RelayNote) {
-        self.actions.push(RelayAction::Note(note));
+    fn note(&mut self, note: RelayCounter) {
+        self.actions.push(RelayAction::Count(note));
     }
 
     fn is_current(&self, attempt: AttemptNumber) -> bool {
--- a/crates/hollyhook_core/src/generation/generation_relay/search.rs
+++ b/crates/hollyhook_core/src/generation/generation_relay/search.rs
@@ -2,7 +2,7 @@
 
 use super::GenerationRelay;
 use crate::{
-    AttemptNumber, EndpointId, ErrorKind, OpenMode, PrefixDigest, RelayAction, RelayNote, RelayPhase, TimePoint,
+    AttemptNumber, EndpointId, ErrorKind, OpenMode, PrefixDigest, RelayAction, RelayCounter, RelayPhase, TimePoint,
 };
 
 /// Attempts that no endpoint takes before the search pauses, so that an outage is no storm of connections.
@@ -33,12 +33,12 @@
         if self.log.is_empty() {
             return OpenMode::Fresh;
         }
-        self.note(RelayNote::Resumed);
+        self.note(RelayCounter::Resumed);
         OpenMode::Resume
     }
 
     fn begin_replay(&mut self) {
-        self.note(RelayNote::Replayed);
+        self.note(RelayCounter::Replayed);
         self.log.clear();
         self.log_base = 0;
         self.received = 0;
@@ -53,14 +53,14 @@
         self.last_progress = now;
         self.endpoint = Some(EndpointId::clone(&endpoint));
         self.actions.push(RelayAction::Open { attempt: self.attempt, endpoint, mode });
-        self.actions.push(RelayAction::Wake { at: now + self.policy.open_timeout });
+        self.actions.push(RelayAction::SetTimer { at: now + self.policy.open_timeout });
     }
 
     pub(super) fn unassigned(&mut self, now: TimePoint, attempt: AttemptNumber) {
         if !self.is_current(attempt) || self.phase != RelayPhase::Assigning {
             return;
         }
-        self.note(RelayNote::SearchFailed);
+        self.note(RelayCounter::SearchFailed);
         let Some(lost_at) = self.lost_at else {
             return self.fail(ErrorKind::NoEndpoint);
         };
@@ -77,7 +77,7 @@
         self.phase = RelayPhase::Searching;
         let pause = self.policy.search_interval * 2_u32.pow(self.rounds.min(MAX_PAUSE_DOUBLINGS));
         self.rounds += 1;
-        self.actions.push(RelayAction::Wake { at: now + pause });
+        self.actions.push(RelayAction::SetTimer { at: now + pause });
     }
 
     pub(super) fn search_again(&mut self, now: TimePoint) {
--- a/crates/hollyhook_core/src/generation/generation_relay/stream.rs
+++ b/crates/hollyhook_core/src/generation/generation_relay/stream.rs
@@ -1,19 +1,19 @@
 //! Taking tokens and the end mark: only the current attempt at the next position counts.
 
 use super::GenerationRelay;
-use crate::{AttemptNumber, EndReason, ErrorKind, RelayAction, RelayNote, RelayPhase, TimePoint};
+use crate::{AttemptNumber, EndReason, ErrorKind, RelayAction, RelayCounter, RelayPhase, TimePoint};
 
 impl GenerationRelay {
     pub(super) fn token(&mut self, now: TimePoint, attempt: AttemptNumber, position: u64, text: String) {
         if !self.is_current(attempt) || !self.is_listening() {
-            return self.note(RelayNote::StaleDropped);
+            return self.note(RelayCounter::StaleDropped);
         }
         if position < self.received {
             self.last_heard = now;
-            return self.note(RelayNote::DuplicateDropped);
+            return self.note(RelayCounter::DuplicateDropped);
         }
         if position > self.received {
-            self.note(RelayNote::GapFound);
+            self.note(RelayCounter::GapFound);
             return self.reset(now);
         }
         self.hear(now);
@@ -37,7 +37,7 @@
         self.rounds = 0;
         if !self.has_token {
             self.has_token = true;
-            self.actions.push(RelayAction::Wake { at: now + self.policy.silence_floor });
+            self.actions.push(RelayAction::SetTimer { at: now + self.policy.silence_floor });
         }
     }
 
@@ -61,10 +61,10 @@
 
     pub(super) fn end(&mut self, now: TimePoint, attempt: AttemptNumber, position: u64, reason: EndReason) {
         if !self.is_current(attempt) || !self.is_listening() {
-            return self.note(RelayNote::StaleDropped);
+            return self.note(RelayCounter::StaleDropped);
         }
         if position != self.received {
-            self.note(RelayNote::GapFound);
+            self.note(RelayCounter::GapFound);
             return self.reset(now);
         }
         if self.replay.is_some() {
--- a/crates/hollyhook_core/src/generation/endpoint_rhythm.rs
+++ b/crates/hollyhook_core/src/generation/latency_estimator.rs
@@ -7,7 +7,7 @@
 
 /// How long to hear nothing from a stream before it is suspected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Patience {
+pub struct StreamTimeouts {
     /// Before the attempt's first token.
     #[serde(with = "span_millis")]
     pub first_token: Duration,
@@ -21,27 +21,27 @@
 /// Keeps a smoothed mean and mean deviation, as TCP does for round trips (RFC 6298, gains 1/8 and 1/4); patience
 /// is the mean plus a number of deviations, within the bounds of the policy.
 #[derive(Debug, Clone, Default)]
-pub struct EndpointRhythm {
+pub struct LatencyEstimator {
     first: SmoothedSpan,
     between: SmoothedSpan,
 }
 
-impl EndpointRhythm {
+impl LatencyEstimator {
     /// Learns the time from an attempt's opening to its first token.
-    pub fn observe_first(&mut self, span: Duration) {
+    pub fn observe_first_token(&mut self, span: Duration) {
         self.first.observe(span);
     }
 
     /// Learns the gap between two tokens of a stream.
-    pub fn observe_gap(&mut self, span: Duration) {
+    pub fn observe_inter_token(&mut self, span: Duration) {
         self.between.observe(span);
     }
 
     /// How long to wait on a silent stream of this endpoint.
     ///
     /// With nothing learnt yet, the policy's ceilings hold.
-    pub fn patience(&self, policy: &RelayPolicy) -> Patience {
-        Patience {
+    pub fn timeouts(&self, policy: &RelayPolicy) -> StreamTimeouts {
+        StreamTimeouts {
             first_token: self.first.bound(policy.silence_factor, policy.first_floor, policy.first_ceiling),
             between_tokens: self.between.bound(policy.silence_factor, policy.silence_floor, policy.silence_ceiling),
         }
--- a/crates/hollyhook_core/src/generation/mod.rs
+++ b/crates/hollyhook_core/src/generation/mod.rs
@@ -1,9 +1,9 @@
 //! The life of one generation: attempts, positions, suspicion of silence, and the end.
 
 mod end_reason;
-mod endpoint_rhythm;
 mod generation_id;
 mod generation_relay;
+mod latency_estimator;
 mod relay_action;
 mod relay_event;
 mod relay_phase;
@@ -11,10 +11,10 @@
 mod token_log;
 
 pub use end_reason::EndReason;
-pub use endpoint_rhythm::{EndpointRhythm, Patience};
 pub use generation_id::{AttemptNumber, GenerationId};
 pub use generation_relay::GenerationRelay;
-pub use relay_action::{OpenMode, RelayAction, RelayNote};
+pub use latency_estimator::{LatencyEstimator, StreamTimeouts};
+pub use relay_action::{OpenMode, RelayAction, RelayCounter};
 pub use relay_event::{EndpointRefusal, ProbeReport, RelayEvent};
 pub use relay_phase::RelayPhase;
 pub use relay_policy::RelayPolicy;
--- a/crates/hollyhook_core/src/generation/relay_action.rs
+++ b/crates/hollyhook_core/src/generation/relay_action.rs
@@ -48,8 +48,8 @@
         /// Its text.
         text: String,
     },
-    /// Fire a timer then; a later `Wake` replaces it.
-    Wake {
+    /// Fire a timer then; a later `SetTimer` replaces it.
+    SetTimer {
         /// When.
         at: TimePoint,
     },
@@ -68,7 +68,7 @@
         delivered: u64,
     },
     /// Count this.
-    Note(RelayNote),
+    Count(RelayCounter),
 }
 
 /// How an attempt opens.
@@ -88,7 +88,7 @@
 /// What a relay counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[non_exhaustive]
-pub enum RelayNote {
+pub enum RelayCounter {
     /// A message of an attempt that is no longer current was dropped.
     StaleDropped,
     /// A token at a position that was already received was dropped.
@@ -119,7 +119,7 @@
     SearchFailed,
 }
 
-impl RelayNote {
+impl RelayCounter {
     /// Every note, for documentation.
     pub const ALL: [Self; 14] = [
         Self::StaleDropped,
--- a/crates/hollyhook_core/src/generation/relay_event.rs
+++ b/crates/hollyhook_core/src/generation/relay_event.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{AttemptNumber, EndReason, Patience};
+use super::{AttemptNumber, EndReason, StreamTimeouts};
 use crate::EndpointId;
 use crate::time::span_millis;
 
@@ -74,10 +74,11 @@
         /// What the endpoint said.
         report: ProbeReport,
     },
-    /// The time that `Wake` asked for has come.
+    /// The time that `SetTimer` asked for has come.
     TimerFired {
         /// The endpoint's patience now.
-        patience: Patience,
+        #[serde(rename = "patience")]
+        timeouts: StreamTimeouts,
     },
     /// The caller hung up.
     CallerLeft,
--- a/crates/hollyhook_core/src/lib.rs
+++ b/crates/hollyhook_core/src/lib.rs
@@ -36,8 +36,8 @@
     AnswerHead, AnswerVerdict, AttemptFailure, AttemptLedger, CallerHead, PromptSize, StopReason, judge_answer,
 };
 pub use generation::{
-    AttemptNumber, EndReason, EndpointRefusal, EndpointRhythm, GenerationId, GenerationRelay, OpenMode, Patience,
-    PrefixDigest, ProbeReport, RelayAction, RelayEvent, RelayNote, RelayPhase, RelayPolicy, TokenLog,
+    AttemptNumber, EndReason, EndpointRefusal, GenerationId, GenerationRelay, LatencyEstimator, OpenMode, PrefixDigest,
+    ProbeReport, RelayAction, RelayCounter, RelayEvent, RelayPhase, RelayPolicy, StreamTimeouts, TokenLog,
 };
 pub use name::{AccountName, EndpointId, ModelBinding, Name, ZoneName};
 pub use quarantine::{CrashLedger, CrashRecord, CrashRecords, DigestError, LedgerChange, RequestDigest};
@@ -56,7 +56,7 @@
     SiteIndex, SiteLedger, SitePlan,
 };
 pub use stop::{StopPhase, StopPlan};
-pub use stream::{EventCutter, EventPiece, EventRelay, PieceVerdict, SilenceJudge, SilenceVerdict};
+pub use stream::{EventSequencer, EventSplitter, LivenessChecker, LivenessVerdict, RawEvent, SequenceVerdict};
 pub use terms::{RateShare, StatedTerms, TermsLedger};
 pub use time::TimePoint;
-pub use trace::{RelayTrace, TraceEnd, TraceLine, TraceOutcome, TraceRun, TraceStart};
+pub use trace::{RelayTrace, TraceEnd, TraceLine, TraceOutcome, TraceReplay, TraceStart};
--- a/crates/hollyhook_core/src/route/endpoint_record.rs
+++ b/crates/hollyhook_core/src/route/endpoint_record.rs
@@ -6,7 +6,7 @@
 
 use super::REPORT_AGE;
 use super::failure_record::FailureRecord;
-use crate::{EndpointId, EndpointRhythm, ModelBinding, Name, StoreRevision, TimePoint, ZoneName};
+use crate::{EndpointId, LatencyEstimator, ModelBinding, Name, StoreRevision, TimePoint, ZoneName};
 
 /// Whether an endpoint gets new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -61,7 +61,7 @@
     /// Requests that this host sent there within the last [`REPORT_AGE`](super::REPORT_AGE), as of when it was chosen.
     pub sent_lately: u32,
     /// Its usual gaps, over all streams of this host.
-    pub rhythm: EndpointRhythm,
+    pub latency_estimator: LatencyEstimator,
     /// The failures of its own among its answers.
     pub(super) errors: FailureRecord,
     pub(super) sends: VecDeque<TimePoint>,
@@ -91,7 +91,7 @@
             sent_since_report: 0,
             sent_lately: 0,
             sends: VecDeque::new(),
-            rhythm: EndpointRhythm::default(),
+            latency_estimator: LatencyEstimator::default(),
             errors: FailureRecord::default(),
             failures: 0,
             ejected_until: TimePoint::ZERO,
--- a/crates/hollyhook_core/src/stream/event_relay.rs
+++ b/crates/hollyhook_core/src/stream/event_sequencer.rs
@@ -1,8 +1,8 @@
-use super::EventPiece;
+use super::RawEvent;
 
 /// What to do with an event that an attempt sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PieceVerdict {
+pub enum SequenceVerdict {
     /// It is the next one: deliver it.
     Deliver,
     /// The caller has it already.
@@ -17,37 +17,37 @@
 /// attempt of a caller without a cursor tells where they start.
 ///
 /// ```
-/// use hollyhook_core::{EventPiece, EventRelay, PieceVerdict};
+/// use hollyhook_core::{RawEvent, EventSequencer, SequenceVerdict};
 ///
-/// let piece = |id| EventPiece { id: Some(id), bytes: Default::default() };
-/// let mut relay = EventRelay::new(Some(6));
-/// assert_eq!(relay.judge(&piece(7)), PieceVerdict::Deliver);
-/// assert_eq!(relay.judge(&piece(7)), PieceVerdict::Drop);
-/// assert_eq!(relay.judge(&piece(9)), PieceVerdict::Gap);
+/// let piece = |id| RawEvent { id: Some(id), bytes: Default::default() };
+/// let mut relay = EventSequencer::new(Some(6));
+/// assert_eq!(relay.classify(&piece(7)), SequenceVerdict::Deliver);
+/// assert_eq!(relay.classify(&piece(7)), SequenceVerdict::Drop);
+/// assert_eq!(relay.classify(&piece(9)), SequenceVerdict::Gap);
 /// assert_eq!(relay.last(), Some(7));
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct EventRelay {
+pub struct EventSequencer {
     last: Option<u64>,
     delivered: u64,
 }
 
-impl EventRelay {
+impl EventSequencer {
     /// A relay for a caller that has everything up to `cursor`.
     pub fn new(cursor: Option<u64>) -> Self {
         Self { last: cursor, delivered: 0 }
     }
 
     /// Judges the next event of the current attempt; one that is to be delivered counts as delivered.
-    pub fn judge(&mut self, piece: &EventPiece) -> PieceVerdict {
+    pub fn classify(&mut self, piece: &RawEvent) -> SequenceVerdict {
         let verdict = match (piece.id, self.last) {
             // Without a number it can't be placed; only an attempt that was never resumed may send it.
-            (None, _) | (Some(_), None) => PieceVerdict::Deliver,
-            (Some(id), Some(last)) if id <= last => PieceVerdict::Drop,
-            (Some(id), Some(last)) if id == last + 1 => PieceVerdict::Deliver,
-            (Some(_), Some(_)) => PieceVerdict::Gap,
+            (None, _) | (Some(_), None) => SequenceVerdict::Deliver,
+            (Some(id), Some(last)) if id <= last => SequenceVerdict::Drop,
+            (Some(id), Some(last)) if id == last + 1 => SequenceVerdict::Deliver,
+            (Some(_), Some(_)) => SequenceVerdict::Gap,
         };
-        if verdict == PieceVerdict::Deliver {
+        if verdict == SequenceVerdict::Deliver {
             self.delivered += 1;
             self.last = piece.id.or(self.last);
         }
--- a/crates/hollyhook_core/src/stream/event_cutter.rs
+++ b/crates/hollyhook_core/src/stream/event_splitter.rs
@@ -5,7 +5,7 @@
 
 /// One whole event, as the endpoint sent it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EventPiece {
+pub struct RawEvent {
     /// Its number, if it has one.
     pub id: Option<u64>,
     /// All its bytes, with the blank line that ends it.
@@ -15,42 +15,42 @@
 /// Cuts a stream of bytes into whole events and holds back what is not whole.
 ///
 /// ```
-/// use hollyhook_core::EventCutter;
+/// use hollyhook_core::EventSplitter;
 ///
-/// let mut cutter = EventCutter::default();
+/// let mut cutter = EventSplitter::default();
 /// cutter.feed(b"id: 4\ndata: a\n\nid: 5\nda");
-/// assert_eq!(cutter.next_piece().unwrap().id, Some(4));
-/// assert!(cutter.next_piece().is_none());
-/// assert!(cutter.has_rest());
+/// assert_eq!(cutter.next_event().unwrap().id, Some(4));
+/// assert!(cutter.next_event().is_none());
+/// assert!(cutter.has_partial_event());
 /// ```
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     bytes: BytesMut,
     /// Bytes at the start that hold no end of an event.
     searched: usize,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Takes the next bytes in.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
     /// The next whole event, if there is one.
-    pub fn next_piece(&mut self) -> Option<EventPiece> {
+    pub fn next_event(&mut self) -> Option<RawEvent> {
         let end = self.find_end()?;
         let bytes = self.bytes.split_to(end).freeze();
         self.searched = 0;
-        Some(EventPiece { id: find_id(&bytes), bytes })
+        Some(RawEvent { id: find_id(&bytes), bytes })
     }
 
     /// Whether part of an event is held back.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         self.bytes.has_remaining()
     }
 
     /// Whether the event held back is longer than any endpoint sends.
-    pub fn is_overfull(&self) -> bool {
+    pub fn is_oversized(&self) -> bool {
         self.bytes.len() > MAX_EVENT_BYTES
     }
 
--- a/crates/hollyhook_core/src/stream/silence_judge.rs
+++ b/crates/hollyhook_core/src/stream/liveness_checker.rs
@@ -13,11 +13,11 @@
 
 /// Whether to go on waiting for an attempt that is silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SilenceVerdict {
+pub enum LivenessVerdict {
     /// The engine is at it.
     Wait,
     /// The engine, the run or the connection is lost.
-    Leave,
+    Abandon,
 }
 
 /// Judges one silence of an attempt by what its engine says of itself.
@@ -25,17 +25,17 @@
 /// Answers three kinds of silence: an engine that is gone does not report; one that reads other prompts first has the
 /// request waiting; a connection that lost its way hides events that the engine has made.
 #[derive(Debug, Clone, Default)]
-pub struct SilenceJudge {
+pub struct LivenessChecker {
     absent: u32,
     stalled: u32,
     queued: u32,
 }
 
-impl SilenceJudge {
+impl LivenessChecker {
     /// Judges by the next report, or by none; `delivered` is the number of the last event that came, or how many did.
-    pub fn judge(&mut self, report: Option<&EngineReport>, attempt_id: &str, delivered: u64) -> SilenceVerdict {
+    pub fn check(&mut self, report: Option<&EngineReport>, attempt_id: &str, delivered: u64) -> LivenessVerdict {
         let Some(report) = report else {
-            return SilenceVerdict::Leave;
+            return LivenessVerdict::Abandon;
         };
         let run = report.runs.iter().find(|run| &*run.attempt_id == attempt_id);
         let is_lost = match run {
@@ -45,7 +45,7 @@
             None if report.has_unread() => passes(&mut self.queued, MOST_QUEUED),
             None => passes(&mut self.absent, MOST_ABSENT),
         };
-        if is_lost { SilenceVerdict::Leave } else { SilenceVerdict::Wait }
+        if is_lost { LivenessVerdict::Abandon } else { LivenessVerdict::Wait }
     }
 }
 
--- a/crates/hollyhook_core/src/stream/mod.rs
+++ b/crates/hollyhook_core/src/stream/mod.rs
@@ -1,9 +1,9 @@
 //! Event streams whose events hollyhook passes on without reading them.
 
-mod event_cutter;
-mod event_relay;
-mod silence_judge;
+mod event_sequencer;
+mod event_splitter;
+mod liveness_checker;
 
-pub use event_cutter::{EventCutter, EventPiece};
-pub use event_relay::{EventRelay, PieceVerdict};
-pub use silence_judge::{SilenceJudge, SilenceVerdict};
+pub use event_sequencer::{EventSequencer, SequenceVerdict};
+pub use event_splitter::{EventSplitter, RawEvent};
+pub use liveness_checker::{LivenessChecker, LivenessVerdict};
--- a/crates/hollyhook_core/src/trace/mod.rs
+++ b/crates/hollyhook_core/src/trace/mod.rs
@@ -3,5 +3,5 @@
 mod relay_trace;
 mod trace_line;
 
-pub use relay_trace::{RelayTrace, TraceRun};
+pub use relay_trace::{RelayTrace, TraceReplay};
 pub use trace_line::{TraceEnd, TraceLine, TraceOutcome, TraceStart};
--- a/crates/hollyhook_core/src/trace/relay_trace.rs
+++ b/crates/hollyhook_core/src/trace/relay_trace.rs
@@ -12,7 +12,7 @@
 
 /// A replay: what came of it, and every action in order.
 #[derive(Debug, Clone, PartialEq)]
-pub struct TraceRun {
+pub struct TraceReplay {
     /// What came of it.
     pub outcome: TraceOutcome,
     /// The actions and when they were decided.
@@ -35,7 +35,7 @@
     /// # Errors
     ///
     /// `InvalidRequest` if the trace has no start.
-    pub fn state_outcome(&mut self) -> Result<(), Error> {
+    pub fn record_outcome(&mut self) -> Result<(), Error> {
         let outcome = self.replay()?.outcome;
         self.lines.retain(|line| !matches!(line, TraceLine::Outcome(_)));
         self.lines.push(TraceLine::Outcome(outcome));
@@ -43,7 +43,7 @@
     }
 
     /// The outcome that the trace states.
-    pub fn stated(&self) -> Option<&TraceOutcome> {
+    pub fn expected_outcome(&self) -> Option<&TraceOutcome> {
         self.lines.iter().find_map(|line| match line {
             TraceLine::Outcome(outcome) => Some(outcome),
             _ => None,
@@ -63,7 +63,7 @@
     /// # Errors
     ///
     /// `InvalidRequest` if the trace has no start.
-    pub fn replay(&self) -> Result<TraceRun, Error> {
+    pub fn replay(&self) -> Result<TraceReplay, Error> {
         let start = self.lines.iter().find_map(|line| match line {
             TraceLine::Start(start) => Some(start),
             _ => None,
@@ -71,7 +71,7 @@
         let start = start.ok_or_else(|| invalid("the trace has no `start` line"))?;
         let relay = GenerationRelay::new(start.policy.clone());
         let mut relay = relay.taken_over(start.endpoint.clone(), start.attempt, start.delivered, start.digest);
-        let mut run = TraceRun { outcome: TraceOutcome::open(start.delivered), actions: Vec::new() };
+        let mut run = TraceReplay { outcome: TraceOutcome::open(start.delivered), actions: Vec::new() };
         for (at, event) in self.events() {
             for action in relay.on(at, event.clone()) {
                 run.outcome.take(&action);
@@ -102,7 +102,7 @@
             RelayAction::Complete { .. } => self.end = TraceEnd::Whole,
             RelayAction::Fail { kind, .. } => self.end = TraceEnd::Failed(*kind),
             RelayAction::Cancel { attempt, .. } => self.cancelled.push(*attempt),
-            RelayAction::Note(note) => *self.notes.entry(Name::from(note.label())).or_default() += 1,
+            RelayAction::Count(note) => *self.notes.entry(Name::from(note.label())).or_default() += 1,
             _ => {}
         }
     }
--- a/crates/hollyhook_core/tests/fuzz/call_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/call_fuzz.rs
@@ -276,7 +276,7 @@
             world.apply(step);
         }
     });
-    tally.conclude(
+    tally.assert_covered(
         "calls",
         &[
             "claim own",
--- a/crates/hollyhook_core/tests/fuzz/cursor_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/cursor_fuzz.rs
@@ -29,7 +29,7 @@
     let seal = CursorSeal::new(&CursorKey::new([7; 32]), Duration::from_secs(MAX_AGE));
     let other = CursorSeal::new(&CursorKey::new([8; 32]), Duration::from_secs(MAX_AGE));
     let rotated =
-        CursorSeal::new(&CursorKey::new([8; 32]), Duration::from_secs(MAX_AGE)).previous(&CursorKey::new([7; 32]));
+        CursorSeal::new(&CursorKey::new([8; 32]), Duration::from_secs(MAX_AGE)).previous_key(&CursorKey::new([7; 32]));
     let inputs = (any::<u128>(), any::<u64>(), "[a-z0-9-]{0,20}", 0..2_000_u64, any::<(usize, u8)>(), 0..2_000_u64);
     fuzz("cursor", 2_000, &inputs, |(bits, position, endpoint, made_at, (place, change), later)| {
         let sealed_cursor = cursor(bits, position, &endpoint, made_at);
--- a/crates/hollyhook_core/tests/fuzz/harness.rs
+++ b/crates/hollyhook_core/tests/fuzz/harness.rs
@@ -17,7 +17,7 @@
     }
 
     /// Prints all counts, and asserts that what the fuzz is for did happen.
-    pub fn conclude(&self, name: &str, needed: &[&str]) {
+    pub fn assert_covered(&self, name: &str, needed: &[&str]) {
         let counts = self.counts.lock().unwrap();
         println!("{name}: {counts:?}");
         for what in needed {
--- a/crates/hollyhook_core/tests/fuzz/main.rs
+++ b/crates/hollyhook_core/tests/fuzz/main.rs
@@ -9,6 +9,6 @@
 mod harness;
 mod relay_cases;
 mod relay_fuzz;
-mod relay_world;
+mod relay_simulation;
 mod route_fuzz;
 mod store_fuzz;
--- a/crates/hollyhook_core/tests/fuzz/relay_cases.rs
+++ b/crates/hollyhook_core/tests/fuzz/relay_cases.rs
@@ -1,12 +1,12 @@
 use std::time::Duration;
 
 use hollyhook_core::{
-    AttemptNumber, EndReason, EndpointId, ErrorKind, GenerationRelay, Patience, ProbeReport, RelayAction, RelayEvent,
-    RelayPolicy, TimePoint,
+    AttemptNumber, EndReason, EndpointId, ErrorKind, GenerationRelay, ProbeReport, RelayAction, RelayEvent,
+    RelayPolicy, StreamTimeouts, TimePoint,
 };
 
-const PATIENCE: Patience =
-    Patience { first_token: Duration::from_millis(800), between_tokens: Duration::from_millis(250) };
+const PATIENCE: StreamTimeouts =
+    StreamTimeouts { first_token: Duration::from_millis(800), between_tokens: Duration::from_millis(250) };
 
 /// Drives a relay whose endpoints refuse every connection until `back_at`; returns the final action and its time.
 fn run_outage(back_at: TimePoint, has_token: bool) -> (RelayAction, TimePoint, usize) {
@@ -30,14 +30,14 @@
                     RelayAction::Probe { attempt, .. } => {
                         queue.push(RelayEvent::Probed { attempt, report: ProbeReport::Dead });
                     }
-                    RelayAction::Wake { at } => wake_at = Some(at),
+                    RelayAction::SetTimer { at } => wake_at = Some(at),
                     RelayAction::Complete { .. } | RelayAction::Fail { .. } => return (action, now, opens),
                     _ => {}
                 }
             }
         }
         now = wake_at.take().expect("a relay that waits has a timer");
-        queue.push(RelayEvent::TimerFired { patience: PATIENCE });
+        queue.push(RelayEvent::TimerFired { timeouts: PATIENCE });
     }
 }
 
--- a/crates/hollyhook_core/tests/fuzz/relay_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/relay_fuzz.rs
@@ -2,7 +2,7 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 
 use crate::harness::{Tally, fuzz};
-use crate::relay_world::{ENGINES, Step, World};
+use crate::relay_simulation::{ENGINES, Step, World};
 
 /// Sequences in CI.
 const CASES: u32 = 8_000;
@@ -87,7 +87,7 @@
         RelayTest::test_sequential(ProptestConfig::default(), is_greedy, steps, seen);
     });
     TALLY.with(|tally| {
-        tally.conclude(
+        tally.assert_covered(
             "relay",
             &[
                 "Kill",
--- a/crates/hollyhook_core/tests/fuzz/relay_world.rs
+++ b/crates/hollyhook_core/tests/fuzz/relay_simulation.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use hollyhook_core::{
-    AttemptNumber, EndReason, EndpointId, EndpointRefusal, ErrorKind, GenerationRelay, OpenMode, Patience,
-    PrefixDigest, ProbeReport, RelayAction, RelayEvent, RelayPhase, RelayPolicy, TimePoint,
+    AttemptNumber, EndReason, EndpointId, EndpointRefusal, ErrorKind, GenerationRelay, OpenMode, PrefixDigest,
+    ProbeReport, RelayAction, RelayEvent, RelayPhase, RelayPolicy, StreamTimeouts, TimePoint,
 };
 
 use crate::harness::Tally;
@@ -313,9 +313,11 @@
             let is_awake = self.hosts[host].has_caller;
             if is_awake && self.hosts[host].wake_at.is_some_and(|at| at <= self.now) {
                 self.hosts[host].wake_at = None;
-                let patience =
-                    Patience { first_token: Duration::from_millis(800), between_tokens: Duration::from_millis(250) };
-                self.feed(host, RelayEvent::TimerFired { patience });
+                let timeouts = StreamTimeouts {
+                    first_token: Duration::from_millis(800),
+                    between_tokens: Duration::from_millis(250),
+                };
+                self.feed(host, RelayEvent::TimerFired { timeouts });
             }
         }
     }
@@ -407,7 +409,7 @@
             RelayAction::Probe { attempt, endpoint } => {
                 self.hosts[host].probes.push_back((attempt, endpoint.parse().unwrap()));
             }
-            RelayAction::Wake { at } => self.hosts[host].wake_at = Some(at),
+            RelayAction::SetTimer { at } => self.hosts[host].wake_at = Some(at),
             RelayAction::Open { attempt, endpoint, mode } => self.open(host, attempt, endpoint.parse().unwrap(), mode),
             RelayAction::Cancel { attempt, endpoint } => {
                 self.close(host, attempt);
@@ -420,7 +422,7 @@
             RelayAction::Deliver { position, text } => self.check_token(host, position, &text),
             RelayAction::Complete { tokens, .. } => self.check_end(host, End::Whole, tokens),
             RelayAction::Fail { kind, delivered } => self.check_end(host, End::Failed(kind), delivered),
-            RelayAction::Note(note) => self.tally.count(note.label()),
+            RelayAction::Count(note) => self.tally.count(note.label()),
         }
     }
 
--- a/crates/hollyhook_core/tests/fuzz/store_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/store_fuzz.rs
@@ -247,7 +247,7 @@
     let tally = Tally::default();
     play(Defect::None, 2_000, &tally);
     let needed = ["restored", "history_gone", "older_refused", "watch_across_eras", "era_from_store", "era_from_host"];
-    tally.conclude("store that comes back older", &needed);
+    tally.assert_covered("store that comes back older", &needed);
 }
 
 /// The checks miss neither of the rules that keep eras apart.
--- a/crates/hollyhook_core/tests/gateway/silence.rs
+++ b/crates/hollyhook_core/tests/gateway/silence.rs
@@ -1,4 +1,4 @@
-use hollyhook_core::{EngineReport, EngineRun, SilenceJudge, SilenceVerdict};
+use hollyhook_core::{EngineReport, EngineRun, LivenessChecker, LivenessVerdict};
 
 fn report(waiting: u32, runs: &[(&str, u64)]) -> EngineReport {
     let runs = runs.iter().map(|(id, events)| EngineRun { attempt_id: (*id).into(), events: *events });
@@ -7,8 +7,8 @@
 
 /// How many reports like this are waited for.
 fn patience(report: Option<&EngineReport>, delivered: u64) -> u32 {
-    let mut judge = SilenceJudge::default();
-    (0..100).find(|_| judge.judge(report, "r1", delivered) == SilenceVerdict::Leave).unwrap()
+    let mut judge = LivenessChecker::default();
+    (0..100).find(|_| judge.check(report, "r1", delivered) == LivenessVerdict::Abandon).unwrap()
 }
 
 #[test]
--- a/crates/hollyhook_core/tests/gateway/streams.rs
+++ b/crates/hollyhook_core/tests/gateway/streams.rs
@@ -1,5 +1,5 @@
 use bytes::Bytes;
-use hollyhook_core::{EventCutter, EventPiece, EventRelay, PieceVerdict};
+use hollyhook_core::{EventSequencer, EventSplitter, RawEvent, SequenceVerdict};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -7,25 +7,25 @@
     format!("id: {id}\ndata: t{id}\n\n")
 }
 
-fn piece(id: u64) -> EventPiece {
-    EventPiece { id: Some(id), bytes: Bytes::from(event(id)) }
+fn piece(id: u64) -> RawEvent {
+    RawEvent { id: Some(id), bytes: Bytes::from(event(id)) }
 }
 
 #[test]
 fn cutter_other_line_ends() {
-    let mut cutter = EventCutter::default();
+    let mut cutter = EventSplitter::default();
     cutter.feed(b"version: 3\r\nid: 9\r\ndata: a\r\n\r\nid:10\ndata: b\n\n");
-    assert_eq!(cutter.next_piece().unwrap().id, Some(9));
-    assert_eq!(cutter.next_piece().unwrap().id, Some(10));
-    assert!(cutter.next_piece().is_none() && !cutter.has_rest());
+    assert_eq!(cutter.next_event().unwrap().id, Some(9));
+    assert_eq!(cutter.next_event().unwrap().id, Some(10));
+    assert!(cutter.next_event().is_none() && !cutter.has_partial_event());
 }
 
 #[test]
 fn cutter_overfull() {
-    let mut cutter = EventCutter::default();
+    let mut cutter = EventSplitter::default();
     cutter.feed(&vec![b'x'; 300 * 1_024]);
-    assert!(cutter.next_piece().is_none());
-    assert!(cutter.is_overfull());
+    assert!(cutter.next_event().is_none());
+    assert!(cutter.is_oversized());
 }
 
 proptest! {
@@ -39,17 +39,17 @@
         let mut ends: Vec<usize> = cuts.iter().map(|cut| cut.index(text.len())).collect();
         ends.push(text.len());
         ends.sort_unstable();
-        let mut cutter = EventCutter::default();
+        let mut cutter = EventSplitter::default();
         let (mut start, mut joined) = (0, Vec::new());
         for end in ends {
             cutter.feed(&text.as_bytes()[start..end]);
             start = end;
-            while let Some(piece) = cutter.next_piece() {
+            while let Some(piece) = cutter.next_event() {
                 joined.extend_from_slice(&piece.bytes);
             }
         }
         prop_assert_eq!(String::from_utf8(joined).unwrap(), whole);
-        prop_assert!(cutter.has_rest());
+        prop_assert!(cutter.has_partial_event());
     }
 
     /// Attempts that start anywhere, skip, double and break off: the caller gets each event once and in order.
@@ -58,14 +58,14 @@
         cursor in proptest::option::of(0_u64..5),
         attempts in proptest::collection::vec(proptest::collection::vec(1_u64..30, 0..30), 1..10),
     ) {
-        let mut relay = EventRelay::new(cursor);
+        let mut relay = EventSequencer::new(cursor);
         let mut delivered = Vec::new();
         for attempt in attempts {
             for id in attempt {
-                match relay.judge(&piece(id)) {
-                    PieceVerdict::Deliver => delivered.push(id),
-                    PieceVerdict::Drop => {}
-                    PieceVerdict::Gap => break,
+                match relay.classify(&piece(id)) {
+                    SequenceVerdict::Deliver => delivered.push(id),
+                    SequenceVerdict::Drop => {}
+                    SequenceVerdict::Gap => break,
                 }
             }
         }
--- a/crates/hollyhook_core/tests/traces.rs
+++ b/crates/hollyhook_core/tests/traces.rs
@@ -7,7 +7,7 @@
 fn replay_trace(path: &Path) -> datatest_stable::Result<()> {
     let trace: RelayTrace = std::fs::read_to_string(path)?.parse()?;
     let run = trace.replay()?;
-    assert_eq!(Some(&run.outcome), trace.stated(), "{:#?}", run.actions);
+    assert_eq!(Some(&run.outcome), trace.expected_outcome(), "{:#?}", run.actions);
     Ok(())
 }
 
--- a/crates/hollyhook_daemon/src/daemon/assembly.rs
+++ b/crates/hollyhook_daemon/src/daemon/assembly.rs
@@ -132,7 +132,7 @@
     registry.register(FleetTable::NAME, FleetTable::new(&settings.host, &settings.zone, &site))?;
     let mut seal = CursorSeal::new(&settings.cursor_key, limits.cursor_age);
     if let Some(previous) = &settings.previous_cursor_key {
-        seal = seal.previous(previous);
+        seal = seal.previous_key(previous);
     }
     registry.register(HostContext::SEAL, seal)?;
     registry.register(CancelOrder::SERVICE, cancels)?;
--- a/crates/hollyhook_daemon/src/fleet/fleet_table.rs
+++ b/crates/hollyhook_daemon/src/fleet/fleet_table.rs
@@ -3,7 +3,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use hollyhook_core::{
-    EndpointId, EndpointRecord, EndpointSubset, EndpointTable, Name, Patience, RelayPolicy, ZoneName,
+    EndpointId, EndpointRecord, EndpointSubset, EndpointTable, Name, RelayPolicy, StreamTimeouts, ZoneName,
 };
 use hollyhook_settings::{EndpointSettings, ServiceKind, ServiceSettings, SiteSettings};
 
@@ -39,12 +39,12 @@
         self.lock().get(id).map(|record| record.address)
     }
 
-    pub(crate) fn patience(&self, id: Option<&EndpointId>, policy: &RelayPolicy) -> Patience {
+    pub(crate) fn stream_timeouts(&self, id: Option<&EndpointId>, policy: &RelayPolicy) -> StreamTimeouts {
         let table = self.lock();
         let record = id.and_then(|id| table.get(id));
         record.map_or_else(
-            || hollyhook_core::EndpointRhythm::default().patience(policy),
-            |record| record.rhythm.patience(policy),
+            || hollyhook_core::LatencyEstimator::default().timeouts(policy),
+            |record| record.latency_estimator.timeouts(policy),
         )
     }
 }
--- a/crates/hollyhook_daemon/src/relay/relay_driver.rs
+++ b/crates/hollyhook_daemon/src/relay/relay_driver.rs
@@ -6,7 +6,7 @@
 use futures::future::{BoxFuture, FutureExt, pending};
 use hollyhook_core::{
     AccountName, AttemptNumber, EndReason, EndpointId, Error, ErrorKind, GenerationId, GenerationRelay, OpenMode,
-    RelayAction, RelayEvent, RelayNote, RelayPhase, RelayTrace, RouteQuery, StreamCursor, TimePoint, TokenLog,
+    RelayAction, RelayCounter, RelayEvent, RelayPhase, RelayTrace, RouteQuery, StreamCursor, TimePoint, TokenLog,
     TraceStart,
 };
 use hollyhook_settings::{GenerationSettings, RequestClass};
@@ -123,8 +123,8 @@
             }
         }
         self.wake = pending().boxed();
-        let patience = self.context.fleet.patience(self.relay.endpoint(), &self.task.settings.policy);
-        RelayEvent::TimerFired { patience }
+        let timeouts = self.context.fleet.stream_timeouts(self.relay.endpoint(), &self.task.settings.policy);
+        RelayEvent::TimerFired { timeouts }
     }
 
     async fn handle(&mut self, event: RelayEvent) {
@@ -151,10 +151,10 @@
             RelayAction::Cancel { attempt, endpoint } => self.cancel(attempt, endpoint),
             RelayAction::Close { .. } => self.attempt = None,
             RelayAction::Deliver { text, .. } => self.deliver(now, &text).await,
-            RelayAction::Wake { at } => self.set_wake(at),
+            RelayAction::SetTimer { at } => self.set_wake(at),
             RelayAction::Complete { reason, tokens } => self.complete(reason, tokens).await,
             RelayAction::Fail { kind, delivered } => self.fail(kind, delivered).await,
-            RelayAction::Note(note) => self.note(note),
+            RelayAction::Count(note) => self.note(note),
         }
     }
 
@@ -226,8 +226,8 @@
             && let Some(record) = self.context.fleet.lock().get_mut(endpoint)
         {
             match (first, gap) {
-                (Some(first), _) => record.rhythm.observe_first(first),
-                (None, Some(gap)) => record.rhythm.observe_gap(gap),
+                (Some(first), _) => record.latency_estimator.observe_first_token(first),
+                (None, Some(gap)) => record.latency_estimator.observe_inter_token(gap),
                 (None, None) => {}
             }
         }
@@ -274,10 +274,10 @@
         self.link.refuse(error).await;
     }
 
-    fn note(&mut self, note: RelayNote) {
+    fn note(&mut self, note: RelayCounter) {
         self.context.board.count(note.label());
         match note {
-            RelayNote::Resumed | RelayNote::Reattached | RelayNote::Replayed => self.tape.lost(),
+            RelayCounter::Resumed | RelayCounter::Reattached | RelayCounter::Replayed => self.tape.lost(),
             _ => {}
         }
     }
--- a/crates/hollyhook_daemon/src/relay/trace_store.rs
+++ b/crates/hollyhook_daemon/src/relay/trace_store.rs
@@ -24,7 +24,7 @@
 
     /// Keeps a trace with what came of it; one that is larger than the store is dropped.
     pub(crate) fn keep(&self, generation: GenerationId, mut trace: RelayTrace) {
-        if trace.state_outcome().is_err() {
+        if trace.record_outcome().is_err() {
             return;
         }
         let text = Name::from(trace.to_string());
--- a/crates/hollyhook_gateway/src/forward/event_stream.rs
+++ b/crates/hollyhook_gateway/src/forward/event_stream.rs
@@ -4,8 +4,8 @@
 use bytes::Bytes;
 use futures::stream;
 use hollyhook_core::{
-    AnswerVerdict, AttemptFailure, AttemptLedger, EndpointId, Error, ErrorKind, EventRelay, Name, Result, StopReason,
-    judge_answer,
+    AnswerVerdict, AttemptFailure, AttemptLedger, EndpointId, Error, ErrorKind, EventSequencer, Name, Result,
+    StopReason, judge_answer,
 };
 use hollyhook_platform::{AttemptHeaders, remove_hop_headers};
 use http::Response;
@@ -75,7 +75,7 @@
 struct StreamRun {
     context: Arc<GatewayContext>,
     caller: Arc<CallerRequest>,
-    relay: EventRelay,
+    relay: EventSequencer,
     pace: StreamPace,
     live: Option<LiveAttempt>,
     /// Where a copy lies of the memory of the attempt that was lost.
@@ -92,7 +92,7 @@
 
 impl StreamRun {
     fn new(context: Arc<GatewayContext>, caller: Arc<CallerRequest>) -> Self {
-        let relay = EventRelay::new(caller.head.cursor);
+        let relay = EventSequencer::new(caller.head.cursor);
         let is_back = caller.head.cursor.is_some();
         let pace = if is_back { StreamPace::returning(caller.arrived) } else { StreamPace::default() };
         let ledger = AttemptLedger::for_route(&caller.route, MOST_TURNED_AWAY);
--- a/crates/hollyhook_gateway/src/forward/live_attempt.rs
+++ b/crates/hollyhook_gateway/src/forward/live_attempt.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use hollyhook_core::{AttemptFailure, EventCutter, EventRelay, PieceVerdict, TimePoint};
+use hollyhook_core::{AttemptFailure, EventSequencer, EventSplitter, SequenceVerdict, TimePoint};
 use http_body_util::BodyExt;
 
 use super::attempt::{EndpointPlace, OpenAnswer};
@@ -28,7 +28,7 @@
     pub(super) place: EndpointPlace,
     pub(super) answer: OpenAnswer,
     pub(super) keeper: Option<BackupKeeper>,
-    cutter: EventCutter,
+    cutter: EventSplitter,
     start: AttemptStart,
     first_event_at: Option<TimePoint>,
     last_event_at: Option<TimePoint>,
@@ -56,7 +56,7 @@
             place,
             answer,
             keeper,
-            cutter: EventCutter::default(),
+            cutter: EventSplitter::default(),
             start,
             first_event_at: None,
             last_event_at: None,
@@ -78,7 +78,7 @@
         &mut self,
         context: &GatewayContext,
         caller: &CallerRequest,
-        relay: &mut EventRelay,
+        relay: &mut EventSequencer,
     ) -> PieceEnd {
         let mut watch = if self.first_event_at.is_some() {
             SilenceWatch::between_events()
@@ -97,7 +97,7 @@
                     }
                 }
                 Some(Some(Err(_error))) => return PieceEnd::Failure(AttemptFailure::Broken),
-                Some(None) if self.cutter.has_rest() => return PieceEnd::Failure(AttemptFailure::Garbled),
+                Some(None) if self.cutter.has_partial_event() => return PieceEnd::Failure(AttemptFailure::Garbled),
                 Some(None) => return PieceEnd::Complete,
                 None => {
                     let delivered = self.delivered(relay);
@@ -110,7 +110,7 @@
     }
 
     /// The number of the last event of this attempt that came, as far as it can be compared with what the engine made.
-    fn delivered(&self, relay: &EventRelay) -> u64 {
+    fn delivered(&self, relay: &EventSequencer) -> u64 {
         if self.first_event_at.is_some() { relay.last().unwrap_or(0).max(relay.delivered()) } else { 0 }
     }
 
@@ -120,21 +120,21 @@
     }
 
     /// What the caller gets of the events that are whole.
-    fn drain_cutter(&mut self, relay: &mut EventRelay, now: TimePoint) -> Option<PieceEnd> {
+    fn drain_cutter(&mut self, relay: &mut EventSequencer, now: TimePoint) -> Option<PieceEnd> {
         let mut ready = VecDeque::new();
-        while let Some(piece) = self.cutter.next_piece() {
+        while let Some(piece) = self.cutter.next_event() {
             self.first_event_at.get_or_insert(now);
             self.last_event_at = Some(now);
             self.events += 1;
-            match relay.judge(&piece) {
-                PieceVerdict::Deliver => ready.push_back(piece.bytes),
-                PieceVerdict::Drop => {}
-                PieceVerdict::Gap if ready.is_empty() => return Some(PieceEnd::Failure(AttemptFailure::Garbled)),
+            match relay.classify(&piece) {
+                SequenceVerdict::Deliver => ready.push_back(piece.bytes),
+                SequenceVerdict::Drop => {}
+                SequenceVerdict::Gap if ready.is_empty() => return Some(PieceEnd::Failure(AttemptFailure::Garbled)),
                 // What came before the gap is delivered; the attempt is left when it is asked again.
-                PieceVerdict::Gap => break,
+                SequenceVerdict::Gap => break,
             }
         }
-        if self.cutter.is_overfull() {
+        if self.cutter.is_oversized() {
             return Some(PieceEnd::Failure(AttemptFailure::Garbled));
         }
         join(ready).map(PieceEnd::Bytes)
--- a/crates/hollyhook_gateway/src/forward/silence_watch.rs
+++ b/crates/hollyhook_gateway/src/forward/silence_watch.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use hollyhook_core::{AttemptFailure, SilenceJudge, SilenceVerdict};
+use hollyhook_core::{AttemptFailure, LivenessChecker, LivenessVerdict};
 
 use super::attempt::EndpointTarget;
 use super::endpoint_probe::ask_silent;
@@ -19,19 +19,19 @@
 /// How long to hear nothing before the engine is asked, and what its reports said so far.
 pub(super) struct SilenceWatch {
     silence: Duration,
-    judge: SilenceJudge,
+    judge: LivenessChecker,
 }
 
 impl SilenceWatch {
     /// A watch on an attempt that has sent an event.
     pub(super) fn between_events() -> Self {
-        Self { silence: EVENT_SILENCE, judge: SilenceJudge::default() }
+        Self { silence: EVENT_SILENCE, judge: LivenessChecker::default() }
     }
 
     /// A watch on an attempt that has first to read that many tokens.
     pub(super) fn before_first(prompt_tokens: u64) -> Self {
         let reading = Duration::from_millis(prompt_tokens / PROMPT_TOKENS_PER_MS);
-        Self { silence: FIRST_SILENCE + reading, judge: SilenceJudge::default() }
+        Self { silence: FIRST_SILENCE + reading, judge: LivenessChecker::default() }
     }
 
     /// How long to wait for the next bytes.
@@ -52,9 +52,9 @@
         }
         let report = ask_silent(context, target).await;
         self.silence = EVENT_SILENCE;
-        match self.judge.judge(report.as_ref(), &caller.head.attempt_id, delivered) {
-            SilenceVerdict::Wait => Ok(()),
-            SilenceVerdict::Leave => Err(AttemptFailure::Silent),
+        match self.judge.check(report.as_ref(), &caller.head.attempt_id, delivered) {
+            LivenessVerdict::Wait => Ok(()),
+            LivenessVerdict::Abandon => Err(AttemptFailure::Silent),
         }
     }
 }
