--- a/crates/hollyhook_core/src/cursor/cursor_seal.rs
+++ b/crates/hollyhook_core/src/cursor/cursor_seal.rs
@@ -14,12 +14,12 @@
 const NONCE_LEN: usize = 24;
 const MAX_TEXT_LEN: usize = 1_024;
 
-/// A secret of 32 bytes that all hosts of a user share.
+/// A secret key of 32 bytes, shared by all hosts that serve the same callers.
 #[derive(Clone, PartialEq, Eq)]
 pub struct CursorKey([u8; 32]);
 
 impl CursorKey {
-    /// A key from its bytes.
+    /// Creates a key from its bytes.
     pub const fn new(bytes: [u8; 32]) -> Self {
         Self(bytes)
     }
@@ -31,9 +31,9 @@
     }
 }
 
-/// Seals and opens cursors with XChaCha20-Poly1305, bound to the client account.
+/// Encrypts and decrypts cursors with XChaCha20-Poly1305; the client account is authenticated as associated data.
 ///
-/// The 192-bit random nonces allow any number of cursors by any number of hosts under one key.
+/// Random nonces of 192 bits don't collide in practice, however many hosts seal cursors under one key.
 pub struct CursorSeal {
     current: XChaCha20Poly1305,
     previous: Vec<XChaCha20Poly1305>,
@@ -41,29 +41,29 @@
 }
 
 impl CursorSeal {
-    /// A seal with the current key; cursors older than `max_age` are refused as stale.
+    /// Creates a seal with the current key; cursors older than `max_age` are refused as stale.
     pub fn new(key: &CursorKey, max_age: Duration) -> Self {
         Self { current: XChaCha20Poly1305::new(&key.0.into()), previous: Vec::new(), max_age }
     }
 
-    /// The same seal that also opens cursors of an earlier key.
+    /// Adds an earlier key that is used only to open cursors.
     #[must_use]
     pub fn previous_key(mut self, key: &CursorKey) -> Self {
         self.previous.push(XChaCha20Poly1305::new(&key.0.into()));
         self
     }
 
-    /// The sealed text of a cursor for that client account.
+    /// Encrypts a cursor for a client account and encodes it as text.
     ///
     /// # Panics
     ///
-    /// If the cipher refuses a message of under a kilobyte, which it never does.
+    /// If the cipher rejects a message of under a kilobyte, which does not happen.
     pub fn seal(&self, account: &str, cursor: &StreamCursor, rng: &mut impl RngCore) -> String {
         let mut nonce = [0; NONCE_LEN];
         rng.fill_bytes(&mut nonce);
         let plain = cursor.encode();
         let payload = Payload { msg: &plain, aad: account.as_bytes() };
-        let sealed = self.current.encrypt(XNonce::from_slice(&nonce), payload).expect("a short message is sealed");
+        let sealed = self.current.encrypt(XNonce::from_slice(&nonce), payload).expect("cursors can be encrypted");
         let mut bytes = Vec::with_capacity(1 + NONCE_LEN + sealed.len());
         bytes.push(FORMAT);
         bytes.extend_from_slice(&nonce);
@@ -71,12 +71,13 @@
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// The cursor in a sealed text.
+    /// Decodes and decrypts a sealed cursor.
     ///
     /// # Errors
     ///
-    /// `CursorInvalid` if it is forged, altered, of another account or of an unknown key, all alike, so that nothing
-    /// of another account shows; `CursorStale` if it is genuine but older than the limit.
+    /// `CursorInvalid` if the cursor is forged, altered, of another account or of an unknown key; the error is the same
+    /// in all these cases, so that it reveals nothing about other accounts. `CursorStale` if the cursor is genuine but
+    /// older than the maximum age.
     pub fn open(&self, account: &str, text: &str, now_unix: u64) -> Result<StreamCursor> {
         let cursor = self.decrypt(account, text).ok_or_else(refusal)?;
         if now_unix.saturating_sub(cursor.made_at) > self.max_age.as_secs() {
--- a/crates/hollyhook_core/src/cursor/mod.rs
+++ b/crates/hollyhook_core/src/cursor/mod.rs
@@ -1,4 +1,4 @@
-//! The sealed cursor that lets a caller go on with a stream at any host.
+//! The encrypted cursor with which a caller can resume a stream at any host.
 
 mod cursor_seal;
 mod stream_cursor;
--- a/crates/hollyhook_core/src/cursor/stream_cursor.rs
+++ b/crates/hollyhook_core/src/cursor/stream_cursor.rs
@@ -1,29 +1,29 @@
 use crate::{AttemptNumber, EndpointId, GenerationId, PrefixDigest};
 
-/// Where a caller stands in a stream, as the SSE `id` of each event carries it, sealed.
+/// A caller's position in a stream; the SSE `id` of each event carries it in encrypted form.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamCursor {
-    /// The generation.
+    /// The generation that the stream delivers.
     pub generation: GenerationId,
-    /// Tokens that the caller holds.
+    /// The number of tokens that the caller has.
     pub position: u64,
-    /// The attempt that delivered the last of them.
+    /// The attempt that delivered the last of these tokens.
     pub attempt: AttemptNumber,
     /// The endpoint of that attempt.
     pub endpoint: EndpointId,
-    /// The digest of the tokens that the caller holds.
+    /// The digest of the tokens that the caller has.
     pub digest: PrefixDigest,
-    /// The first 64 bits of a digest of the request, so that a cursor can't be used with another one.
+    /// The first 64 bits of a digest of the request, so that the cursor can't be used with another request.
     pub request: u64,
     /// When the cursor was made, in Unix seconds.
     pub made_at: u64,
 }
 
 impl StreamCursor {
-    const FIXED: usize = 16 + 8 + 4 + 16 + 8 + 8;
+    const FIXED_LEN: usize = 16 + 8 + 4 + 16 + 8 + 8;
 
     pub(super) fn encode(&self) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(Self::FIXED + self.endpoint.len());
+        let mut bytes = Vec::with_capacity(Self::FIXED_LEN + self.endpoint.len());
         bytes.extend_from_slice(&self.generation.bits().to_be_bytes());
         bytes.extend_from_slice(&self.position.to_be_bytes());
         bytes.extend_from_slice(&self.attempt.get().to_be_bytes());
@@ -36,18 +36,18 @@
 
     pub(super) fn decode(bytes: &[u8]) -> Option<Self> {
         let mut rest = bytes;
-        let generation = GenerationId::from_bits(u128::from_be_bytes(take(&mut rest)?));
-        let position = u64::from_be_bytes(take(&mut rest)?);
-        let attempt = AttemptNumber::new(u32::from_be_bytes(take(&mut rest)?));
-        let digest = PrefixDigest::from_bytes(take(&mut rest)?);
-        let request = u64::from_be_bytes(take(&mut rest)?);
-        let made_at = u64::from_be_bytes(take(&mut rest)?);
+        let generation = GenerationId::from_bits(u128::from_be_bytes(split_array(&mut rest)?));
+        let position = u64::from_be_bytes(split_array(&mut rest)?);
+        let attempt = AttemptNumber::new(u32::from_be_bytes(split_array(&mut rest)?));
+        let digest = PrefixDigest::from_bytes(split_array(&mut rest)?);
+        let request = u64::from_be_bytes(split_array(&mut rest)?);
+        let made_at = u64::from_be_bytes(split_array(&mut rest)?);
         let endpoint = EndpointId::from(std::str::from_utf8(rest).ok()?);
         Some(Self { generation, position, attempt, endpoint, digest, request, made_at })
     }
 }
 
-fn take<const N: usize>(rest: &mut &[u8]) -> Option<[u8; N]> {
+fn split_array<const N: usize>(rest: &mut &[u8]) -> Option<[u8; N]> {
     let (head, tail) = rest.split_first_chunk::<N>()?;
     *rest = tail;
     Some(*head)
--- a/crates/hollyhook_core/src/generation/end_reason.rs
+++ b/crates/hollyhook_core/src/generation/end_reason.rs
@@ -6,9 +6,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndReason {
-    /// The model produced its stop mark.
+    /// The model ended the output itself.
     Stop,
-    /// The requested number of tokens was reached.
+    /// The output reached the requested number of tokens.
     Length,
 }
 
--- a/crates/hollyhook_core/src/generation/generation_id.rs
+++ b/crates/hollyhook_core/src/generation/generation_id.rs
@@ -12,12 +12,12 @@
 pub struct GenerationId(u128);
 
 impl GenerationId {
-    /// An identity from 128 random bits.
+    /// Creates an id from 128 random bits.
     pub const fn from_bits(bits: u128) -> Self {
         Self(bits)
     }
 
-    /// The identity that a client account's idempotency key always leads to, on any host.
+    /// Derives the id from a client account's idempotency key; every host derives the same id.
     pub fn from_key(account: &str, key: &str) -> Self {
         let mut hash = Sha256::new();
         hash.update((account.len() as u64).to_be_bytes());
@@ -29,7 +29,7 @@
         Self(u128::from_be_bytes(bits))
     }
 
-    /// The 128 bits.
+    /// The id as 128 bits.
     pub const fn bits(self) -> u128 {
         self.0
     }
@@ -75,9 +75,9 @@
     }
 }
 
-/// Counts the attempts at one generation, over all hosts that ever relayed it; the first is 1.
+/// The number of an attempt at one generation, counted across all hosts that have relayed it; the first is 1.
 ///
-/// The number also orders attachments: an endpoint sends the output to the newest attempt only.
+/// An endpoint sends the output only to the attempt with the highest number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AttemptNumber(u32);
 
@@ -85,28 +85,28 @@
     /// The first attempt.
     pub const FIRST: Self = Self(1);
 
-    /// The attempt with that number.
+    /// Creates the number of an attempt.
     pub const fn new(number: u32) -> Self {
         Self(number)
     }
 
-    /// The attempt after this one.
+    /// The number of the next attempt on the same host.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 
-    /// The first attempt of a host that takes the generation over from the one that made this attempt.
+    /// The number of the first attempt on a host that takes the generation over from the host of this attempt.
     ///
-    /// The step is larger than the attempts of one host, so that a host which was paused and comes back can't make
-    /// one with the same number, and its cancel can't reach its successor's work.
+    /// The step is larger than the number of attempts that one host makes, so that a host that was paused and
+    /// recovers can't reuse a number of its successor, and its cancellations can't stop the successor's work.
     #[must_use]
     pub const fn takeover(self) -> Self {
         const STEP: u32 = 64;
         Self(self.0 + STEP)
     }
 
-    /// The number.
+    /// The attempt number as an integer.
     pub const fn get(self) -> u32 {
         self.0
     }
--- a/crates/hollyhook_core/src/generation/generation_relay/loss.rs
+++ b/crates/hollyhook_core/src/generation/generation_relay/loss.rs
@@ -1,4 +1,4 @@
-//! Judging silence, resets and refusals: attach again, resume elsewhere, or wait.
+//! Handling of silent streams, broken connections and refusals: wait, attach again, or fail over to another endpoint.
 
 use std::time::Duration;
 
@@ -10,19 +10,21 @@
 
 impl GenerationRelay {
     pub(super) fn refused(&mut self, now: TimePoint, attempt: AttemptNumber, refusal: EndpointRefusal) {
-        if !self.is_current(attempt) || !self.is_listening() {
+        if !self.is_current(attempt) || !self.has_open_attempt() {
             return;
         }
-        self.note(RelayCounter::RefusalSeen);
+        self.count(RelayCounter::RefusalSeen);
         match refusal {
             EndpointRefusal::Invalid => self.fail(ErrorKind::EndpointRefused),
             EndpointRefusal::Superseded => self.fail(ErrorKind::Superseded),
-            EndpointRefusal::Busy | EndpointRefusal::Unable | EndpointRefusal::NotHeld => self.leave(now, false),
+            EndpointRefusal::Busy | EndpointRefusal::Unable | EndpointRefusal::NotHeld => self.fail_over(now, false),
         }
     }
 
-    /// A broken connection says nothing about the endpoint, but a dead one refuses the probe at once.
-    pub(super) fn reset(&mut self, now: TimePoint) {
+    /// Probes the endpoint after its connection broke or skipped a position.
+    ///
+    /// A broken connection does not show whether the endpoint is dead, but a dead endpoint refuses the probe at once.
+    pub(super) fn connection_broke(&mut self, now: TimePoint) {
         self.mark_lost(now);
         self.probe(now, self.policy.reset_probe_timeout);
     }
@@ -41,20 +43,20 @@
             return;
         }
         let ProbeReport::Holds { produced, is_finished } = report else {
-            return self.leave(now, true);
+            return self.fail_over(now, true);
         };
-        let is_ahead = produced > self.received || is_finished;
-        let is_broken = self.lost_at.is_some();
-        if is_ahead || is_broken {
+        let has_more = produced > self.received || is_finished;
+        let is_lost = self.lost_at.is_some();
+        if has_more || is_lost {
             return self.reattach(now);
         }
         if self.has_token && now.since(self.last_progress) >= self.policy.stall_limit {
-            self.note(RelayCounter::StallLeft);
-            return self.leave(now, true);
+            self.count(RelayCounter::StallLeft);
+            return self.fail_over(now, true);
         }
-        self.note(RelayCounter::ProbeWaited);
+        self.count(RelayCounter::ProbeWaited);
         self.phase = RelayPhase::Streaming;
-        self.last_heard = now;
+        self.last_activity = now;
         self.actions.push(RelayAction::SetTimer { at: now + self.policy.silence_floor });
     }
 
@@ -64,15 +66,18 @@
         };
         self.mark_lost(now);
         self.actions.push(RelayAction::Close { attempt: self.attempt });
-        if !self.take_attempt() {
+        if !self.begin_attempt() {
             return;
         }
-        self.note(RelayCounter::Reattached);
+        self.count(RelayCounter::Reattached);
         self.open(now, endpoint, OpenMode::Attach { position: self.received });
     }
 
-    /// A refusal before anything was lost is no loss: with no other endpoint, the caller is told so at once.
-    pub(super) fn leave(&mut self, now: TimePoint, must_cancel: bool) {
+    /// Moves the generation off its current endpoint, and searches another one.
+    ///
+    /// `must_cancel` is false if the endpoint did not accept the attempt. While nothing has been delivered, that is no
+    /// loss: if there is no other endpoint, the caller gets the error at once, not at the end of the resume window.
+    pub(super) fn fail_over(&mut self, now: TimePoint, must_cancel: bool) {
         if must_cancel || self.delivered > 0 {
             self.mark_lost(now);
         }
@@ -85,29 +90,29 @@
             self.avoid.push(endpoint);
         }
         if !must_cancel {
-            return self.miss(now);
+            return self.not_accepted(now);
         }
-        if self.take_attempt() {
+        if self.begin_attempt() {
             self.assign();
         }
     }
 
-    pub(super) fn judge_silence(&mut self, now: TimePoint, patience: StreamTimeouts) {
+    pub(super) fn check_silence(&mut self, now: TimePoint, timeouts: StreamTimeouts) {
         let limit = match (self.is_accepted, self.has_token) {
             (false, _) => self.policy.open_timeout,
-            (true, false) => patience.first_token,
-            (true, true) => patience.between_tokens,
+            (true, false) => timeouts.first_token,
+            (true, true) => timeouts.between_tokens,
         };
-        let suspect_at = self.last_heard + limit;
-        if now < suspect_at {
-            return self.actions.push(RelayAction::SetTimer { at: suspect_at });
+        let suspected_at = self.last_activity + limit;
+        if now < suspected_at {
+            return self.actions.push(RelayAction::SetTimer { at: suspected_at });
         }
         if !self.is_accepted {
-            // There is nothing at this endpoint that a probe could save.
-            self.note(RelayCounter::OpenTimedOut);
-            return self.leave(now, true);
+            // No probe: an endpoint that has not accepted the attempt has done no work for it that could be saved.
+            self.count(RelayCounter::OpenTimedOut);
+            return self.fail_over(now, true);
         }
-        self.note(RelayCounter::SilenceSuspected);
+        self.count(RelayCounter::SilenceSuspected);
         self.probe(now, self.policy.probe_timeout);
     }
 
--- a/crates/hollyhook_core/src/generation/generation_relay/mod.rs
+++ b/crates/hollyhook_core/src/generation/generation_relay/mod.rs
@@ -1,4 +1,4 @@
-//! The life of one generation on this host.
+//! The state machine that relays one generation on this host.
 
 mod loss;
 mod search;
@@ -9,54 +9,62 @@
     RelayPolicy, StreamTimeouts, TimePoint, TokenLog,
 };
 
-/// Carries one generation to its caller over as many attempts as it takes.
+/// Relays one generation to its caller, over several attempts if endpoints or connections fail.
 ///
-/// A token counts only if it comes from the current attempt at the next position; so every token is delivered
-/// exactly once, in order, and never from two generations.
+/// A token is accepted only from the current attempt and at the next position, so every token is delivered exactly
+/// once and in order, and tokens of different generations are never mixed.
 #[derive(Debug)]
 pub struct GenerationRelay {
     policy: RelayPolicy,
     phase: RelayPhase,
     attempt: AttemptNumber,
+    /// Attempts that count towards `max_attempts` of the policy.
     attempts: u32,
-    /// Attempts that no endpoint took, and searches that were put off, since the last token.
-    misses: u32,
-    rounds: u32,
+    /// Attempts that no endpoint accepted since the last token.
+    unaccepted: u32,
+    /// Searches that were deferred by a pause since the last token.
+    search_rounds: u32,
     endpoint: Option<EndpointId>,
     avoid: Vec<EndpointId>,
     log: TokenLog,
-    log_base: u64,
+    /// The position of the first token in the log.
+    log_start: u64,
+    /// The position of the next token; lower than `delivered` during a replay.
     received: u64,
     delivered: u64,
     digest: PrefixDigest,
-    replay: Option<PrefixDigest>,
-    last_heard: TimePoint,
+    /// The digest of the tokens replayed so far, during a replay.
+    replay_digest: Option<PrefixDigest>,
+    /// When the current attempt was opened, sent something, or was confirmed by a probe.
+    last_activity: TimePoint,
+    /// When the current attempt was opened or sent a new token.
     last_progress: TimePoint,
     is_accepted: bool,
     has_token: bool,
+    /// When the current attempt or an earlier one was lost, if no token has followed since.
     lost_at: Option<TimePoint>,
     actions: Vec<RelayAction>,
 }
 
 impl GenerationRelay {
-    /// A relay of a new generation.
+    /// Creates a relay of a new generation.
     pub fn new(policy: RelayPolicy) -> Self {
         Self {
             policy,
             phase: RelayPhase::Idle,
             attempt: AttemptNumber::FIRST,
             attempts: 0,
-            misses: 0,
-            rounds: 0,
+            unaccepted: 0,
+            search_rounds: 0,
             endpoint: None,
             avoid: Vec::new(),
             log: TokenLog::default(),
-            log_base: 0,
+            log_start: 0,
             received: 0,
             delivered: 0,
             digest: PrefixDigest::default(),
-            replay: None,
-            last_heard: TimePoint::ZERO,
+            replay_digest: None,
+            last_activity: TimePoint::ZERO,
             last_progress: TimePoint::ZERO,
             is_accepted: false,
             has_token: false,
@@ -65,10 +73,11 @@
         }
     }
 
-    /// A relay that takes a generation over from another host.
+    /// Makes the relay take a generation over from another host.
     ///
-    /// The caller already holds `delivered` tokens with that digest, from attempts before `attempt`. If `endpoint`
-    /// still holds the generation, it is attached to there; else it is replayed and checked against the digest.
+    /// The caller already has the first `delivered` tokens, whose digest is `digest`, from attempts before `attempt`.
+    /// If `endpoint` still holds the generation, the relay attaches to it there; otherwise the generation is replayed
+    /// and verified against the digest.
     #[must_use]
     pub fn taken_over(
         mut self,
@@ -79,14 +88,14 @@
     ) -> Self {
         self.endpoint = endpoint;
         self.attempt = attempt;
-        self.log_base = delivered;
+        self.log_start = delivered;
         self.received = delivered;
         self.delivered = delivered;
         self.digest = digest;
         self
     }
 
-    /// Where the generation stands.
+    /// The current phase.
     pub fn phase(&self) -> RelayPhase {
         self.phase
     }
@@ -96,27 +105,27 @@
         self.attempt
     }
 
-    /// The endpoint of the current attempt.
+    /// The endpoint of the current attempt, if one is assigned.
     pub fn endpoint(&self) -> Option<&EndpointId> {
         self.endpoint.as_ref()
     }
 
-    /// Tokens delivered to the caller, including those that another host delivered.
+    /// The number of tokens delivered to the caller, including those that another host delivered.
     pub fn delivered(&self) -> u64 {
         self.delivered
     }
 
-    /// The digest of the tokens delivered.
+    /// The digest of the delivered tokens.
     pub fn digest(&self) -> PrefixDigest {
         self.digest
     }
 
-    /// The tokens received on this host, for a resume or a whole answer.
+    /// The tokens received on this host, for resuming the generation and for unstreamed answers.
     pub fn log(&self) -> &TokenLog {
         &self.log
     }
 
-    /// Takes one event and says what to do.
+    /// Handles one event and returns the actions that the driver must perform, in order.
     pub fn on(&mut self, now: TimePoint, event: RelayEvent) -> Vec<RelayAction> {
         if self.phase != RelayPhase::Done {
             self.handle(now, event);
@@ -127,28 +136,28 @@
     fn handle(&mut self, now: TimePoint, event: RelayEvent) {
         match event {
             RelayEvent::Started => self.start(now),
-            RelayEvent::CallerLeft => self.leave_caller(),
-            RelayEvent::TimerFired { timeouts } => self.wake(now, timeouts),
+            RelayEvent::CallerLeft => self.caller_left(),
+            RelayEvent::TimerFired { timeouts } => self.timer_fired(now, timeouts),
             RelayEvent::Assigned { attempt, endpoint } => self.assigned(now, attempt, endpoint),
             RelayEvent::Unassigned { attempt, .. } => self.unassigned(now, attempt),
             RelayEvent::Opened { attempt } => {
                 if self.is_current(attempt) {
                     self.is_accepted = true;
-                    self.last_heard = now;
+                    self.last_activity = now;
                 }
             }
-            RelayEvent::TokenArrived { attempt, position, text } => self.token(now, attempt, position, text),
-            RelayEvent::EndArrived { attempt, position, reason } => self.end(now, attempt, position, reason),
+            RelayEvent::TokenArrived { attempt, position, text } => self.token_arrived(now, attempt, position, text),
+            RelayEvent::EndArrived { attempt, position, reason } => self.end_arrived(now, attempt, position, reason),
             RelayEvent::ConnectionLost { attempt } => {
                 if self.is_current(attempt) && self.phase == RelayPhase::Streaming {
-                    self.note(RelayCounter::ResetSeen);
-                    self.reset(now);
+                    self.count(RelayCounter::ResetSeen);
+                    self.connection_broke(now);
                 }
             }
             RelayEvent::Unreachable { attempt } => {
                 if self.is_current(attempt) && self.phase == RelayPhase::Streaming {
-                    self.note(RelayCounter::ConnectFailed);
-                    self.leave(now, false);
+                    self.count(RelayCounter::ConnectFailed);
+                    self.fail_over(now, false);
                 }
             }
             RelayEvent::Refused { attempt, refusal } => self.refused(now, attempt, refusal),
@@ -165,22 +174,23 @@
             return self.open(now, endpoint, OpenMode::Attach { position: self.received });
         }
         if self.delivered > 0 {
-            // The caller holds a part of it: with no endpoint left, it is lost rather than not run.
+            // The caller has a part of the generation: if there is no endpoint, the error is `GenerationLost` and not
+            // `NoEndpoint`, which says that nothing was run.
             self.mark_lost(now);
         }
         self.assign();
     }
 
-    fn wake(&mut self, now: TimePoint, patience: StreamTimeouts) {
+    fn timer_fired(&mut self, now: TimePoint, timeouts: StreamTimeouts) {
         match self.phase {
-            RelayPhase::Searching => self.search_again(now),
-            RelayPhase::Probing => self.leave(now, true),
-            RelayPhase::Streaming => self.judge_silence(now, patience),
+            RelayPhase::BackingOff => self.search_again(now),
+            RelayPhase::Probing => self.fail_over(now, true),
+            RelayPhase::Streaming => self.check_silence(now, timeouts),
             RelayPhase::Idle | RelayPhase::Assigning | RelayPhase::Done => {}
         }
     }
 
-    fn leave_caller(&mut self) {
+    fn caller_left(&mut self) {
         self.cancel_current();
         self.phase = RelayPhase::Done;
     }
@@ -196,15 +206,15 @@
         self.actions.push(RelayAction::Fail { kind, delivered: self.delivered });
     }
 
-    fn note(&mut self, note: RelayCounter) {
-        self.actions.push(RelayAction::Count(note));
+    fn count(&mut self, counter: RelayCounter) {
+        self.actions.push(RelayAction::Count(counter));
     }
 
     fn is_current(&self, attempt: AttemptNumber) -> bool {
         attempt == self.attempt
     }
 
-    fn is_listening(&self) -> bool {
+    fn has_open_attempt(&self) -> bool {
         matches!(self.phase, RelayPhase::Streaming | RelayPhase::Probing)
     }
 }
--- a/crates/hollyhook_core/src/generation/generation_relay/search.rs
+++ b/crates/hollyhook_core/src/generation/generation_relay/search.rs
@@ -1,13 +1,13 @@
-//! Finding an endpoint for an attempt, and opening it there.
+//! Finding an endpoint for an attempt, and opening the attempt there.
 
 use super::GenerationRelay;
 use crate::{
     AttemptNumber, EndpointId, ErrorKind, OpenMode, PrefixDigest, RelayAction, RelayCounter, RelayPhase, TimePoint,
 };
 
-/// Attempts that no endpoint takes before the search pauses, so that an outage is no storm of connections.
-const MISSES_IN_ROUND: u32 = 3;
-/// Doublings of the pause between searches.
+/// Unaccepted attempts after which the search pauses, to limit the rate of connections during an outage.
+const ATTEMPTS_PER_ROUND: u32 = 3;
+/// How often the pause between searches doubles at most.
 const MAX_PAUSE_DOUBLINGS: u32 = 3;
 
 impl GenerationRelay {
@@ -25,31 +25,33 @@
         self.open(now, endpoint, mode);
     }
 
-    /// A log that does not reach back to the first token can't be resumed from, so its tokens are replayed.
+    /// Chooses how to open the next attempt.
+    ///
+    /// A log without the first tokens can't be resumed from, so the generation is replayed from the prompt.
     fn next_mode(&mut self) -> OpenMode {
-        if self.log_base > 0 {
+        if self.log_start > 0 {
             self.begin_replay();
         }
         if self.log.is_empty() {
             return OpenMode::Fresh;
         }
-        self.note(RelayCounter::Resumed);
+        self.count(RelayCounter::Resumed);
         OpenMode::Resume
     }
 
     fn begin_replay(&mut self) {
-        self.note(RelayCounter::Replayed);
+        self.count(RelayCounter::Replayed);
         self.log.clear();
-        self.log_base = 0;
+        self.log_start = 0;
         self.received = 0;
-        self.replay = Some(PrefixDigest::default());
+        self.replay_digest = Some(PrefixDigest::default());
     }
 
     pub(super) fn open(&mut self, now: TimePoint, endpoint: EndpointId, mode: OpenMode) {
         self.phase = RelayPhase::Streaming;
         self.has_token = false;
         self.is_accepted = false;
-        self.last_heard = now;
+        self.last_activity = now;
         self.last_progress = now;
         self.endpoint = Some(EndpointId::clone(&endpoint));
         self.actions.push(RelayAction::Open { attempt: self.attempt, endpoint, mode });
@@ -60,23 +62,23 @@
         if !self.is_current(attempt) || self.phase != RelayPhase::Assigning {
             return;
         }
-        self.note(RelayCounter::SearchFailed);
+        self.count(RelayCounter::SearchFailed);
         let Some(lost_at) = self.lost_at else {
             return self.fail(ErrorKind::NoEndpoint);
         };
-        self.search_later(now, lost_at);
+        self.schedule_search(now, lost_at);
     }
 
-    /// Searches again after a pause that grows, until the window is over.
-    fn search_later(&mut self, now: TimePoint, lost_at: TimePoint) {
+    /// Schedules the next search after an increasing pause, or fails the generation at the end of the resume window.
+    fn schedule_search(&mut self, now: TimePoint, lost_at: TimePoint) {
         if now.since(lost_at) >= self.policy.resume_window {
             return self.fail(ErrorKind::GenerationLost);
         }
-        // An endpoint that was left may have come back, and is better than none.
+        // An endpoint that an earlier attempt failed over from may have recovered, so all endpoints are allowed again.
         self.avoid.clear();
-        self.phase = RelayPhase::Searching;
-        let pause = self.policy.search_interval * 2_u32.pow(self.rounds.min(MAX_PAUSE_DOUBLINGS));
-        self.rounds += 1;
+        self.phase = RelayPhase::BackingOff;
+        let pause = self.policy.search_interval * 2_u32.pow(self.search_rounds.min(MAX_PAUSE_DOUBLINGS));
+        self.search_rounds += 1;
         self.actions.push(RelayAction::SetTimer { at: now + pause });
     }
 
@@ -85,18 +87,21 @@
         if is_over { self.fail(ErrorKind::GenerationLost) } else { self.assign() }
     }
 
-    /// An attempt that no endpoint took costs no work, so only the time for the search bounds these.
-    pub(super) fn miss(&mut self, now: TimePoint) {
+    /// Searches for another endpoint after the current one did not accept the attempt.
+    ///
+    /// After a loss, only the resume window limits such attempts, since they cost the endpoints no work.
+    pub(super) fn not_accepted(&mut self, now: TimePoint) {
         self.attempt = self.attempt.next();
-        self.misses += 1;
+        self.unaccepted += 1;
         match self.lost_at {
-            None if self.misses >= self.policy.max_attempts => self.fail(ErrorKind::NoEndpoint),
-            Some(lost_at) if self.misses.is_multiple_of(MISSES_IN_ROUND) => self.search_later(now, lost_at),
+            None if self.unaccepted >= self.policy.max_attempts => self.fail(ErrorKind::NoEndpoint),
+            Some(lost_at) if self.unaccepted.is_multiple_of(ATTEMPTS_PER_ROUND) => self.schedule_search(now, lost_at),
             _ => self.assign(),
         }
     }
 
-    pub(super) fn take_attempt(&mut self) -> bool {
+    /// Advances to the next attempt, or fails the generation and returns false if this host may make no further one.
+    pub(super) fn begin_attempt(&mut self) -> bool {
         if self.attempts >= self.policy.max_attempts {
             self.fail(ErrorKind::GenerationLost);
             return false;
--- a/crates/hollyhook_core/src/generation/latency_estimator.rs
+++ b/crates/hollyhook_core/src/generation/latency_estimator.rs
@@ -5,66 +5,70 @@
 use super::RelayPolicy;
 use crate::time::span_millis;
 
-/// How long to hear nothing from a stream before it is suspected.
+/// How long a stream may deliver nothing before it is suspected of being broken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamTimeouts {
-    /// Before the attempt's first token.
+    /// The timeout before the attempt's first token.
     #[serde(with = "span_millis")]
     pub first_token: Duration,
-    /// Between two tokens.
+    /// The timeout between two tokens.
     #[serde(with = "span_millis")]
     pub between_tokens: Duration,
 }
 
-/// The usual gaps of one endpoint, over all its streams.
+/// Estimates the token latencies of one endpoint over all its streams.
 ///
-/// Keeps a smoothed mean and mean deviation, as TCP does for round trips (RFC 6298, gains 1/8 and 1/4); patience
-/// is the mean plus a number of deviations, within the bounds of the policy.
+/// Keeps a smoothed mean and mean deviation, as TCP does for round-trip times (RFC 6298, gains 1/8 and 1/4). A timeout
+/// is the mean plus a multiple of the deviation, clamped to the policy's bounds.
 #[derive(Debug, Clone, Default)]
 pub struct LatencyEstimator {
-    first: SmoothedSpan,
-    between: SmoothedSpan,
+    first_token: SmoothedDuration,
+    between_tokens: SmoothedDuration,
 }
 
 impl LatencyEstimator {
-    /// Learns the time from an attempt's opening to its first token.
+    /// Records the time from the opening of an attempt to its first token.
     pub fn observe_first_token(&mut self, span: Duration) {
-        self.first.observe(span);
+        self.first_token.observe(span);
     }
 
-    /// Learns the gap between two tokens of a stream.
+    /// Records the time between two tokens of a stream.
     pub fn observe_inter_token(&mut self, span: Duration) {
-        self.between.observe(span);
+        self.between_tokens.observe(span);
     }
 
-    /// How long to wait on a silent stream of this endpoint.
+    /// The timeouts for silent streams of this endpoint.
     ///
-    /// With nothing learnt yet, the policy's ceilings hold.
+    /// Without a sample, a timeout is the policy's ceiling.
     pub fn timeouts(&self, policy: &RelayPolicy) -> StreamTimeouts {
         StreamTimeouts {
-            first_token: self.first.bound(policy.silence_factor, policy.first_floor, policy.first_ceiling),
-            between_tokens: self.between.bound(policy.silence_factor, policy.silence_floor, policy.silence_ceiling),
+            first_token: self.first_token.timeout(policy.silence_factor, policy.first_floor, policy.first_ceiling),
+            between_tokens: self.between_tokens.timeout(
+                policy.silence_factor,
+                policy.silence_floor,
+                policy.silence_ceiling,
+            ),
         }
     }
 }
 
 #[derive(Debug, Clone, Default)]
-struct SmoothedSpan {
+struct SmoothedDuration {
     mean_us: f64,
     deviation_us: f64,
-    is_known: bool,
+    has_sample: bool,
 }
 
-impl SmoothedSpan {
+impl SmoothedDuration {
     const MEAN_GAIN: f64 = 0.125;
     const DEVIATION_GAIN: f64 = 0.25;
 
     fn observe(&mut self, span: Duration) {
         let sample = span.as_micros() as f64;
-        if !self.is_known {
+        if !self.has_sample {
             self.mean_us = sample;
             self.deviation_us = sample / 2.0;
-            self.is_known = true;
+            self.has_sample = true;
             return;
         }
         let distance = (sample - self.mean_us).abs();
@@ -72,8 +76,8 @@
         self.mean_us += Self::MEAN_GAIN * (sample - self.mean_us);
     }
 
-    fn bound(&self, factor: f64, floor: Duration, ceiling: Duration) -> Duration {
-        if !self.is_known {
+    fn timeout(&self, factor: f64, floor: Duration, ceiling: Duration) -> Duration {
+        if !self.has_sample {
             return ceiling;
         }
         let micros = self.mean_us + factor * self.deviation_us;
--- a/crates/hollyhook_core/src/generation/mod.rs
+++ b/crates/hollyhook_core/src/generation/mod.rs
@@ -1,4 +1,4 @@
-//! The life of one generation: attempts, positions, suspicion of silence, and the end.
+//! Relaying one generation from an endpoint to its caller: attempts, token positions, failure detection and fail-over.
 
 mod end_reason;
 mod generation_id;
--- a/crates/hollyhook_core/src/generation/relay_action.rs
+++ b/crates/hollyhook_core/src/generation/relay_action.rs
@@ -1,126 +1,130 @@
 use super::{AttemptNumber, EndReason};
 use crate::{EndpointId, ErrorKind, TimePoint};
 
-/// What a [`GenerationRelay`](super::GenerationRelay) asks its driver to do, in order.
+/// An action that a [`GenerationRelay`](super::GenerationRelay) requests; its driver performs the actions in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RelayAction {
-    /// Find an endpoint for this attempt; answer with `Assigned` or `Unassigned`.
+    /// Search for an endpoint for this attempt; the driver answers with `Assigned` or `Unassigned`.
     Assign {
-        /// The attempt that it is for.
+        /// The attempt that needs an endpoint.
         attempt: AttemptNumber,
-        /// Endpoints that were left and should be avoided.
+        /// Endpoints that earlier attempts failed over from; they should be avoided.
         avoid: Vec<EndpointId>,
-        /// Whether this continues a generation after a loss.
+        /// Whether the attempt continues a generation after a loss.
         is_resume: bool,
     },
     /// Open a connection for this attempt.
     Open {
         /// The attempt.
         attempt: AttemptNumber,
-        /// Where.
+        /// The endpoint to connect to.
         endpoint: EndpointId,
-        /// How.
+        /// Where the output starts.
         mode: OpenMode,
     },
-    /// Ask the endpoint, on a new connection, what it holds; answer with `Probed`.
+    /// Query the endpoint on a new connection for the generation's state; the driver answers with `Probed`.
     Probe {
-        /// The attempt that is suspect.
+        /// The attempt whose stream is suspected of being broken.
         attempt: AttemptNumber,
-        /// The endpoint.
+        /// The endpoint of that attempt.
         endpoint: EndpointId,
     },
-    /// Close this attempt's connection and have its work at the endpoint stopped, also if it comes back late.
+    /// Close this attempt's connection and cancel its work at the endpoint.
+    ///
+    /// The cancellation must also reach an endpoint that is unreachable now and recovers later.
     Cancel {
         /// The attempt.
         attempt: AttemptNumber,
-        /// Where.
+        /// The endpoint of that attempt.
         endpoint: EndpointId,
     },
-    /// Close this attempt's connection, leaving its work to a newer attempt at the same endpoint.
+    /// Close this attempt's connection without cancelling.
+    ///
+    /// Either a newer attempt attaches to its work at the same endpoint, or the endpoint did not accept the attempt.
     Close {
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// Give the caller this token.
+    /// Deliver this token to the caller.
     Deliver {
-        /// Its position.
+        /// The token's position in the generation, from 0.
         position: u64,
-        /// Its text.
+        /// The token's text.
         text: String,
     },
-    /// Fire a timer then; a later `SetTimer` replaces it.
+    /// Set the relay's single timer; each `SetTimer` replaces the one before.
     SetTimer {
-        /// When.
+        /// When the timer fires.
         at: TimePoint,
     },
-    /// Tell the caller that the generation is whole.
+    /// End the answer to the caller: the generation is complete.
     Complete {
-        /// Why the engine ended.
+        /// Why the engine ended the generation.
         reason: EndReason,
-        /// The number of tokens.
+        /// The number of tokens in the generation.
         tokens: u64,
     },
-    /// Tell the caller at once that the generation ends here.
+    /// End the answer to the caller with an error.
     Fail {
-        /// Why.
+        /// The kind of the error.
         kind: ErrorKind,
-        /// Tokens delivered to the caller before.
+        /// The number of tokens that the caller has received.
         delivered: u64,
     },
-    /// Count this.
+    /// Increment this counter.
     Count(RelayCounter),
 }
 
-/// How an attempt opens.
+/// Where the output of an attempt starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum OpenMode {
-    /// From the prompt alone.
+    /// At the first token: the endpoint gets the prompt alone.
     Fresh,
-    /// From the prompt and the tokens in the relay's log.
+    /// Behind the tokens in the relay's log: the endpoint gets the prompt and these tokens.
     Resume,
-    /// By attaching to what the endpoint is already producing, from this position on.
+    /// At a position of a generation that the endpoint already holds: the attempt attaches to the running work.
     Attach {
-        /// The first position wanted.
+        /// The position of the first token to send.
         position: u64,
     },
 }
 
-/// What a relay counts.
+/// A counter that a relay increments.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[non_exhaustive]
 pub enum RelayCounter {
-    /// A message of an attempt that is no longer current was dropped.
+    /// A token or end event was dropped because its attempt is no longer current or no longer open.
     StaleDropped,
-    /// A token at a position that was already received was dropped.
+    /// A token was dropped because one at its position had already been received.
     DuplicateDropped,
-    /// A position was skipped; the connection was given up.
+    /// The position of a token or end event did not follow the last token; the connection was treated as broken.
     GapFound,
     /// No connection to the endpoint could be made.
     ConnectFailed,
-    /// An endpoint did not accept the attempt in time.
+    /// An endpoint did not accept the attempt within the open timeout.
     OpenTimedOut,
-    /// A connection ended or broke before the end mark.
+    /// A connection closed or broke before the end event.
     ResetSeen,
-    /// A stream was silent for longer than the endpoint's patience.
+    /// A stream was silent for longer than its timeout, and the endpoint was probed.
     SilenceSuspected,
-    /// A probe found the endpoint alive and waiting was right.
+    /// A probe found that the endpoint holds the generation and is not ahead of the stream; the relay kept waiting.
     ProbeWaited,
-    /// A stream was attached to again at the same endpoint.
+    /// The relay opened a new connection to the same endpoint and attached to the running generation.
     Reattached,
-    /// An endpoint was left and the generation resumed from its tokens.
+    /// The generation was resumed at an endpoint from the prompt and the tokens in the log.
     Resumed,
-    /// A generation was started again to replay tokens that this host does not hold.
+    /// The generation was started again from the prompt, since this host lacks tokens that the caller has.
     Replayed,
-    /// An endpoint made no progress for longer than the limit.
+    /// An endpoint was alive but made no progress for the stall limit, and the relay failed over.
     StallLeft,
     /// An endpoint refused the attempt.
     RefusalSeen,
-    /// No endpoint could take the attempt at that moment.
+    /// A search found no endpoint that could take the attempt.
     SearchFailed,
 }
 
 impl RelayCounter {
-    /// Every note, for documentation.
+    /// All counters, to check that each is documented.
     pub const ALL: [Self; 14] = [
         Self::StaleDropped,
         Self::DuplicateDropped,
@@ -138,7 +142,7 @@
         Self::SearchFailed,
     ];
 
-    /// The counter's name.
+    /// The counter's name in metrics and traces.
     pub const fn label(self) -> &'static str {
         match self {
             Self::StaleDropped => "stale_dropped",
--- a/crates/hollyhook_core/src/generation/relay_event.rs
+++ b/crates/hollyhook_core/src/generation/relay_event.rs
@@ -6,24 +6,24 @@
 use crate::EndpointId;
 use crate::time::span_millis;
 
-/// What the driver reports to a [`GenerationRelay`](super::GenerationRelay).
+/// An input that the driver reports to a [`GenerationRelay`](super::GenerationRelay).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RelayEvent {
     /// The request was admitted.
     Started,
-    /// The search that `Assign` asked for found an endpoint.
+    /// The search requested by `Assign` found an endpoint.
     Assigned {
         /// The attempt that the search was for.
         attempt: AttemptNumber,
         /// The endpoint found.
         endpoint: EndpointId,
     },
-    /// The search found none that can take it now.
+    /// The search requested by `Assign` found no endpoint that can take the attempt now.
     Unassigned {
         /// The attempt that the search was for.
         attempt: AttemptNumber,
-        /// When a new request may find one, in milliseconds.
+        /// The delay after which a new request may find an endpoint, in milliseconds when serialized.
         #[serde(with = "span_millis")]
         retry_after: Duration,
     },
@@ -32,55 +32,55 @@
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// A token came.
+    /// A token was received.
     TokenArrived {
-        /// The attempt whose connection it came on.
+        /// The attempt whose connection carried the token.
         attempt: AttemptNumber,
-        /// Its position in the generation, from 0.
+        /// The token's position in the generation, from 0.
         position: u64,
-        /// Its text.
+        /// The token's text.
         text: String,
     },
-    /// The end mark came.
+    /// The endpoint reported the end of the generation.
     EndArrived {
-        /// The attempt whose connection it came on.
+        /// The attempt whose connection carried the end event.
         attempt: AttemptNumber,
-        /// The number of tokens of the whole generation.
+        /// The number of tokens in the whole generation.
         position: u64,
-        /// Why the engine ended.
+        /// Why the engine ended the generation.
         reason: EndReason,
     },
-    /// No connection could be made: nothing was sent.
+    /// No connection to the endpoint could be established, so nothing was sent.
     Unreachable {
-        /// The attempt that it was for.
+        /// The attempt that the connection was for.
         attempt: AttemptNumber,
     },
-    /// The connection ended or broke before the end mark.
+    /// The connection closed or broke before the end event.
     ConnectionLost {
-        /// The attempt whose connection it was.
+        /// The attempt that used the connection.
         attempt: AttemptNumber,
     },
-    /// The endpoint answered the attempt with a refusal.
+    /// The endpoint refused the attempt.
     Refused {
         /// The attempt.
         attempt: AttemptNumber,
-        /// Why.
+        /// Why the endpoint refused.
         refusal: EndpointRefusal,
     },
-    /// The probe that `Probe` asked for has an outcome.
+    /// The probe requested by `Probe` has a result.
     Probed {
         /// The attempt that was probed.
         attempt: AttemptNumber,
-        /// What the endpoint said.
+        /// The result of the probe.
         report: ProbeReport,
     },
-    /// The time that `SetTimer` asked for has come.
+    /// The timer set by `SetTimer` fired.
     TimerFired {
-        /// The endpoint's patience now.
+        /// The current timeouts for streams of the endpoint.
         #[serde(rename = "patience")]
         timeouts: StreamTimeouts,
     },
-    /// The caller hung up.
+    /// The caller disconnected.
     CallerLeft,
 }
 
@@ -88,30 +88,30 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointRefusal {
-    /// It is full or leaving; another may take it.
+    /// The endpoint is full or draining; another may accept the attempt.
     Busy,
-    /// It serves another version or adapter, or cannot resume.
+    /// The endpoint serves another version or adapter, or can't resume a generation.
     Unable,
-    /// It does not hold the generation that was to be attached to.
+    /// The endpoint does not hold the generation to attach to.
     NotHeld,
-    /// A newer attempt holds the generation there.
+    /// The endpoint holds the generation for a newer attempt.
     Superseded,
-    /// The request itself is invalid; no endpoint would take it.
+    /// The request itself is invalid; no endpoint would accept it.
     Invalid,
 }
 
-/// What a probe on a new connection found.
+/// The result of a probe on a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProbeReport {
     /// The endpoint holds the generation.
     Holds {
-        /// Tokens of the generation that it has produced.
+        /// The number of the generation's tokens that the endpoint has produced.
         produced: u64,
-        /// Whether it has reached the end.
+        /// Whether the endpoint has reached the end of the generation.
         is_finished: bool,
     },
-    /// The endpoint lives but does not hold the generation.
+    /// The endpoint is alive but does not hold the generation.
     Lives,
     /// The endpoint does not answer.
     Dead,
--- a/crates/hollyhook_core/src/generation/relay_phase.rs
+++ b/crates/hollyhook_core/src/generation/relay_phase.rs
@@ -1,16 +1,16 @@
-/// Where a generation stands.
+/// The state of a [`GenerationRelay`](super::GenerationRelay).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RelayPhase {
-    /// Not started.
+    /// The relay has not been started.
     Idle,
-    /// An endpoint is being searched.
+    /// The driver is searching for an endpoint for the current attempt.
     Assigning,
-    /// No endpoint was found after a loss; the search goes on at the next wake.
-    Searching,
-    /// A connection is being opened or streams.
+    /// After a loss no endpoint took the generation; the next search starts when the timer fires.
+    BackingOff,
+    /// The current attempt's connection is being opened, or is open.
     Streaming,
-    /// The stream is suspect and a probe is out.
+    /// The current attempt's stream is suspected of being broken, and the answer to a probe is pending.
     Probing,
-    /// The caller has the final answer, or has left.
+    /// The caller has the final answer or has disconnected.
     Done,
 }
--- a/crates/hollyhook_core/src/generation/relay_policy.rs
+++ b/crates/hollyhook_core/src/generation/relay_policy.rs
@@ -4,9 +4,9 @@
 
 use crate::time::span_millis;
 
-/// How a generation is guarded, between resume latency and extra resource use.
+/// Failure detection and fail-over settings of a relay; they trade resume latency against repeated work.
 ///
-/// A builder: start from one of the constructors and change what differs.
+/// Start from one of the constructors and override single settings with the builder methods.
 ///
 /// ```
 /// use hollyhook_core::RelayPolicy;
@@ -17,44 +17,46 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RelayPolicy {
-    /// Deviations beyond the mean gap that make a silence suspect.
+    /// The factor of the mean deviation in a stream's timeout, which is the mean latency plus this multiple.
     pub silence_factor: f64,
-    /// The least silence between tokens that is suspect.
+    /// The lower bound of the timeout between tokens.
     #[serde(with = "span_millis")]
     pub silence_floor: Duration,
-    /// The silence between tokens that is always suspect.
+    /// The upper bound of the timeout between tokens; applies also while an endpoint has no sample.
     #[serde(with = "span_millis")]
     pub silence_ceiling: Duration,
-    /// The least silence before the first token that is suspect.
+    /// The lower bound of the timeout before the first token.
     #[serde(with = "span_millis")]
     pub first_floor: Duration,
-    /// The silence before the first token that is always suspect.
+    /// The upper bound of the timeout before the first token; applies also while an endpoint has no sample.
     #[serde(with = "span_millis")]
     pub first_ceiling: Duration,
-    /// How long an endpoint may take to accept an attempt, which it does before it reads the prompt.
+    /// How long an endpoint may take to accept an attempt; it accepts before it processes the prompt.
     #[serde(with = "span_millis")]
     pub open_timeout: Duration,
-    /// How long a probe on a new connection may take after a silence.
+    /// How long a probe may take after a stream was silent for too long.
     #[serde(with = "span_millis")]
     pub probe_timeout: Duration,
-    /// How long a probe on a new connection may take after a reset.
+    /// How long a probe may take after a connection broke.
     #[serde(with = "span_millis")]
     pub reset_probe_timeout: Duration,
-    /// How long a live endpoint may make no progress in mid-stream before it is left.
+    /// How long an endpoint that answers probes may produce no further token before the relay fails over.
     #[serde(with = "span_millis")]
     pub stall_limit: Duration,
-    /// How long after a loss the search for an endpoint goes on.
+    /// How long after a loss the relay searches for an endpoint before it fails the generation.
     #[serde(with = "span_millis")]
     pub resume_window: Duration,
-    /// The pause between two searches for an endpoint within the window.
+    /// The first pause between searches within the window; it doubles with each further pause, up to 3 times.
     #[serde(with = "span_millis")]
     pub search_interval: Duration,
-    /// The most attempts at one generation on this host.
+    /// The maximum number of attempts at one generation on this host.
+    ///
+    /// Attempts that no endpoint accepted are counted separately, and limited only while nothing has been lost.
     pub max_attempts: u32,
 }
 
 impl RelayPolicy {
-    /// Little silence is suspect, and a probe has little time: for callers who wait.
+    /// Short timeouts for streams and probes: for callers that wait for the answer.
     pub const fn favour_latency() -> Self {
         Self {
             silence_factor: 8.0,
@@ -72,7 +74,7 @@
         }
     }
 
-    /// More silence is suspect and a probe has more time: for fleets that are small.
+    /// Longer timeouts for streams and probes, so that less work is repeated: for small fleets.
     pub const fn favour_work() -> Self {
         Self {
             silence_factor: 12.0,
@@ -90,63 +92,63 @@
         }
     }
 
-    /// Another least suspect silence between tokens.
+    /// Sets the lower bound of the timeout between tokens.
     #[must_use]
     pub const fn silence_floor(mut self, span: Duration) -> Self {
         self.silence_floor = span;
         self
     }
 
-    /// Another always suspect silence between tokens.
+    /// Sets the upper bound of the timeout between tokens.
     #[must_use]
     pub const fn silence_ceiling(mut self, span: Duration) -> Self {
         self.silence_ceiling = span;
         self
     }
 
-    /// Another always suspect silence before the first token.
+    /// Sets the upper bound of the timeout before the first token.
     #[must_use]
     pub const fn first_ceiling(mut self, span: Duration) -> Self {
         self.first_ceiling = span;
         self
     }
 
-    /// Another time for an endpoint to accept an attempt.
+    /// Sets how long an endpoint may take to accept an attempt.
     #[must_use]
     pub const fn open_timeout(mut self, span: Duration) -> Self {
         self.open_timeout = span;
         self
     }
 
-    /// Another time for a probe after a silence.
+    /// Sets how long a probe may take after a stream was silent for too long.
     #[must_use]
     pub const fn probe_timeout(mut self, span: Duration) -> Self {
         self.probe_timeout = span;
         self
     }
 
-    /// Another time for a probe after a reset.
+    /// Sets how long a probe may take after a connection broke.
     #[must_use]
     pub const fn reset_probe_timeout(mut self, span: Duration) -> Self {
         self.reset_probe_timeout = span;
         self
     }
 
-    /// Another limit for a live endpoint without progress.
+    /// Sets how long an endpoint that answers probes may produce no further token.
     #[must_use]
     pub const fn stall_limit(mut self, span: Duration) -> Self {
         self.stall_limit = span;
         self
     }
 
-    /// Another time for the search after a loss.
+    /// Sets how long after a loss the relay searches for an endpoint.
     #[must_use]
     pub const fn resume_window(mut self, span: Duration) -> Self {
         self.resume_window = span;
         self
     }
 
-    /// Another bound on attempts.
+    /// Sets the maximum number of attempts.
     #[must_use]
     pub const fn max_attempts(mut self, number: u32) -> Self {
         self.max_attempts = number;
--- a/crates/hollyhook_core/src/generation/token_log.rs
+++ b/crates/hollyhook_core/src/generation/token_log.rs
@@ -3,7 +3,7 @@
 
 /// The tokens of one generation in order, packed into one string.
 ///
-/// Costs the text plus 4 bytes a token, since a long generation holds thousands of them.
+/// Packed because a long generation has thousands of tokens: each costs 4 bytes besides its text.
 ///
 /// ```
 /// use hollyhook_core::TokenLog;
@@ -20,7 +20,7 @@
 }
 
 impl TokenLog {
-    /// Adds the next token.
+    /// Appends the next token.
     pub fn push(&mut self, token: &str) {
         self.text.push_str(token);
         self.ends.push(self.text.len() as u32);
@@ -31,12 +31,12 @@
         self.ends.len()
     }
 
-    /// Whether there is no token.
+    /// Whether the log holds no token.
     pub fn is_empty(&self) -> bool {
         self.ends.is_empty()
     }
 
-    /// The whole text.
+    /// The concatenated text of all tokens.
     pub fn text(&self) -> &str {
         &self.text
     }
@@ -47,32 +47,32 @@
         starts.zip(&self.ends).map(|(start, end)| &self.text[start as usize..*end as usize])
     }
 
-    /// Forgets every token.
+    /// Removes all tokens.
     pub fn clear(&mut self) {
         self.text.clear();
         self.ends.clear();
     }
 }
 
-/// A digest of the first tokens of a generation, carried by a cursor to prove that a replay matches them.
+/// A digest of the first tokens of a generation; a cursor carries it to verify that a replay produces the same tokens.
 ///
-/// Each token is chained as `SHA-256(previous ‖ length ‖ token)`, cut to 128 bits.
+/// Each token is chained as `SHA-256(previous ‖ length ‖ token)`, truncated to 128 bits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PrefixDigest([u8; 16]);
 
 impl PrefixDigest {
-    /// A digest from its bytes.
+    /// Creates a digest from its bytes.
     pub const fn from_bytes(bytes: [u8; 16]) -> Self {
         Self(bytes)
     }
 
-    /// The bytes.
+    /// The bytes of the digest.
     pub const fn bytes(self) -> [u8; 16] {
         self.0
     }
 
-    /// The digest after one more token.
+    /// The digest of the tokens so far and one more token.
     #[must_use]
     pub fn chain(self, token: &str) -> Self {
         let mut hash = Sha256::new();
--- a/crates/hollyhook_core/src/stream/event_sequencer.rs
+++ b/crates/hollyhook_core/src/stream/event_sequencer.rs
@@ -1,30 +1,30 @@
 use super::RawEvent;
 
-/// What to do with an event that an attempt sent.
+/// What to do with an event received from an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SequenceVerdict {
-    /// It is the next one: deliver it.
+    /// The event is the next one: deliver it.
     Deliver,
-    /// The caller has it already.
+    /// The event is a duplicate of one that the caller has: drop it.
     Drop,
-    /// An event between the last one and this one is missing: leave the attempt.
+    /// An event before this one is missing: abandon the attempt.
     Gap,
 }
 
-/// Where one caller is in a stream of numbered events, over all attempts at it.
+/// Delivers numbered events to one caller exactly once and in order, over all attempts at the stream.
 ///
-/// The caller gets each event once and in order, whichever attempt it comes from. Numbers grow by one; the first
-/// attempt of a caller without a cursor tells where they start.
+/// Event numbers increase by one. For a caller without a cursor, the first event of the first attempt sets the number
+/// to start from.
 ///
 /// ```
-/// use hollyhook_core::{RawEvent, EventSequencer, SequenceVerdict};
+/// use hollyhook_core::{EventSequencer, RawEvent, SequenceVerdict};
 ///
-/// let piece = |id| RawEvent { id: Some(id), bytes: Default::default() };
-/// let mut relay = EventSequencer::new(Some(6));
-/// assert_eq!(relay.classify(&piece(7)), SequenceVerdict::Deliver);
-/// assert_eq!(relay.classify(&piece(7)), SequenceVerdict::Drop);
-/// assert_eq!(relay.classify(&piece(9)), SequenceVerdict::Gap);
-/// assert_eq!(relay.last(), Some(7));
+/// let event = |id| RawEvent { id: Some(id), bytes: Default::default() };
+/// let mut sequencer = EventSequencer::new(Some(6));
+/// assert_eq!(sequencer.classify(&event(7)), SequenceVerdict::Deliver);
+/// assert_eq!(sequencer.classify(&event(7)), SequenceVerdict::Drop);
+/// assert_eq!(sequencer.classify(&event(9)), SequenceVerdict::Gap);
+/// assert_eq!(sequencer.last(), Some(7));
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct EventSequencer {
@@ -33,15 +33,15 @@
 }
 
 impl EventSequencer {
-    /// A relay for a caller that has everything up to `cursor`.
+    /// Creates a sequencer for a caller that has all events up to the number `cursor`.
     pub fn new(cursor: Option<u64>) -> Self {
         Self { last: cursor, delivered: 0 }
     }
 
-    /// Judges the next event of the current attempt; one that is to be delivered counts as delivered.
-    pub fn classify(&mut self, piece: &RawEvent) -> SequenceVerdict {
-        let verdict = match (piece.id, self.last) {
-            // Without a number it can't be placed; only an attempt that was never resumed may send it.
+    /// Classifies the next event of the current attempt, and records the event as delivered if it is to be.
+    pub fn classify(&mut self, event: &RawEvent) -> SequenceVerdict {
+        let verdict = match (event.id, self.last) {
+            // An event without a number can't be put in order; only an attempt that was never resumed may send one.
             (None, _) | (Some(_), None) => SequenceVerdict::Deliver,
             (Some(id), Some(last)) if id <= last => SequenceVerdict::Drop,
             (Some(id), Some(last)) if id == last + 1 => SequenceVerdict::Deliver,
@@ -49,17 +49,17 @@
         };
         if verdict == SequenceVerdict::Deliver {
             self.delivered += 1;
-            self.last = piece.id.or(self.last);
+            self.last = event.id.or(self.last);
         }
         verdict
     }
 
-    /// The number of the last event that the caller has.
+    /// The number of the last event that the caller has, if known.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Events delivered, over all attempts.
+    /// The count of events delivered over all attempts.
     pub fn delivered(&self) -> u64 {
         self.delivered
     }
--- a/crates/hollyhook_core/src/stream/event_splitter.rs
+++ b/crates/hollyhook_core/src/stream/event_splitter.rs
@@ -1,42 +1,42 @@
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The most bytes of one event; a longer one is a fault of the endpoint.
+/// The maximum size of one event; a larger one is treated as a fault of the endpoint.
 const MAX_EVENT_BYTES: usize = 256 * 1_024;
 
-/// One whole event, as the endpoint sent it.
+/// One whole event, as sent by the endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RawEvent {
-    /// Its number, if it has one.
+    /// The event's number, if it has one.
     pub id: Option<u64>,
-    /// All its bytes, with the blank line that ends it.
+    /// All bytes of the event, including the blank line that ends it.
     pub bytes: Bytes,
 }
 
-/// Cuts a stream of bytes into whole events and holds back what is not whole.
+/// Splits a byte stream into whole events and buffers the incomplete rest.
 ///
 /// ```
 /// use hollyhook_core::EventSplitter;
 ///
-/// let mut cutter = EventSplitter::default();
-/// cutter.feed(b"id: 4\ndata: a\n\nid: 5\nda");
-/// assert_eq!(cutter.next_event().unwrap().id, Some(4));
-/// assert!(cutter.next_event().is_none());
-/// assert!(cutter.has_partial_event());
+/// let mut splitter = EventSplitter::default();
+/// splitter.feed(b"id: 4\ndata: a\n\nid: 5\nda");
+/// assert_eq!(splitter.next_event().unwrap().id, Some(4));
+/// assert!(splitter.next_event().is_none());
+/// assert!(splitter.has_partial_event());
 /// ```
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     bytes: BytesMut,
-    /// Bytes at the start that hold no end of an event.
+    /// The number of leading bytes that are known to contain no end of an event.
     searched: usize,
 }
 
 impl EventSplitter {
-    /// Takes the next bytes in.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next whole event, if there is one.
+    /// Removes and returns the next whole event, if one is buffered.
     pub fn next_event(&mut self) -> Option<RawEvent> {
         let end = self.find_end()?;
         let bytes = self.bytes.split_to(end).freeze();
@@ -44,12 +44,12 @@
         Some(RawEvent { id: find_id(&bytes), bytes })
     }
 
-    /// Whether part of an event is held back.
+    /// Whether bytes of an incomplete event are buffered, once all whole events have been removed.
     pub fn has_partial_event(&self) -> bool {
         self.bytes.has_remaining()
     }
 
-    /// Whether the event held back is longer than any endpoint sends.
+    /// Whether the buffered incomplete event exceeds the maximum size, once all whole events have been removed.
     pub fn is_oversized(&self) -> bool {
         self.bytes.len() > MAX_EVENT_BYTES
     }
--- a/crates/hollyhook_core/src/stream/liveness_checker.rs
+++ b/crates/hollyhook_core/src/stream/liveness_checker.rs
@@ -1,29 +1,30 @@
 use crate::EngineReport;
 
-/// Reports without a run, and with nothing waiting, after which the run is not there: the first may be older than it.
-const MOST_ABSENT: u32 = 2;
-/// Events that an engine may have made and that are still on their way, when a report of it is a few hundred
-/// milliseconds old and the stream was silent for longer.
-const EVENTS_UNDER_WAY: u64 = 3;
-/// Reports for which a run that makes no event is waited for, between two events.
-const MOST_STALLED: u32 = 3;
-/// Reports for which a request that waits for its prompt to be read is waited for. Going elsewhere would read it there
-/// from the start, so this is only a bound; about ten seconds.
-const MOST_QUEUED: u32 = 30;
+/// Reports with neither the run nor a queued request after which the run counts as absent. The first such report may
+/// be older than the request.
+const MAX_ABSENT_REPORTS: u32 = 2;
+/// Events that an engine may have produced but that are still in flight, given that its report is a few hundred
+/// milliseconds old and that the stream was silent for longer.
+const MAX_EVENTS_IN_FLIGHT: u64 = 3;
+/// Reports in which a run has no further event, between two events, after which the run counts as stalled.
+const MAX_STALLED_REPORTS: u32 = 3;
+/// Reports after which a request that is still waiting for its prompt to be processed is given up; about ten seconds.
+/// This is only an upper bound, since another engine would have to process the prompt from the start.
+const MAX_QUEUED_REPORTS: u32 = 30;
 
-/// Whether to go on waiting for an attempt that is silent.
+/// Whether to keep waiting for a silent attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LivenessVerdict {
-    /// The engine is at it.
+    /// The engine is still working on the request.
     Wait,
     /// The engine, the run or the connection is lost.
     Abandon,
 }
 
-/// Judges one silence of an attempt by what its engine says of itself.
+/// Decides from the engine's reports whether an attempt that is silent is still being worked on.
 ///
-/// Answers three kinds of silence: an engine that is gone does not report; one that reads other prompts first has the
-/// request waiting; a connection that lost its way hides events that the engine has made.
+/// Distinguishes three causes of a silence: a dead engine sends no report; an engine that processes other prompts first
+/// reports queued requests; behind a broken connection, the engine reports more events than were received.
 #[derive(Debug, Clone, Default)]
 pub struct LivenessChecker {
     absent: u32,
@@ -32,24 +33,27 @@
 }
 
 impl LivenessChecker {
-    /// Judges by the next report, or by none; `delivered` is the number of the last event that came, or how many did.
+    /// Evaluates the next report, or its absence.
+    ///
+    /// `delivered` is the number of the last event received or the count of events received, whichever is larger; 0
+    /// before the attempt's first event.
     pub fn check(&mut self, report: Option<&EngineReport>, attempt_id: &str, delivered: u64) -> LivenessVerdict {
         let Some(report) = report else {
             return LivenessVerdict::Abandon;
         };
         let run = report.runs.iter().find(|run| &*run.attempt_id == attempt_id);
         let is_lost = match run {
-            Some(run) if run.events > delivered + EVENTS_UNDER_WAY => true,
-            Some(_) if delivered > 0 => passes(&mut self.stalled, MOST_STALLED),
-            Some(_) => passes(&mut self.queued, MOST_QUEUED),
-            None if report.has_unread() => passes(&mut self.queued, MOST_QUEUED),
-            None => passes(&mut self.absent, MOST_ABSENT),
+            Some(run) if run.events > delivered + MAX_EVENTS_IN_FLIGHT => true,
+            Some(_) if delivered > 0 => reaches_limit(&mut self.stalled, MAX_STALLED_REPORTS),
+            Some(_) => reaches_limit(&mut self.queued, MAX_QUEUED_REPORTS),
+            None if report.has_unread() => reaches_limit(&mut self.queued, MAX_QUEUED_REPORTS),
+            None => reaches_limit(&mut self.absent, MAX_ABSENT_REPORTS),
         };
         if is_lost { LivenessVerdict::Abandon } else { LivenessVerdict::Wait }
     }
 }
 
-fn passes(count: &mut u32, most: u32) -> bool {
+fn reaches_limit(count: &mut u32, limit: u32) -> bool {
     *count += 1;
-    *count >= most
+    *count >= limit
 }
--- a/crates/hollyhook_core/src/stream/mod.rs
+++ b/crates/hollyhook_core/src/stream/mod.rs
@@ -1,4 +1,4 @@
-//! Event streams whose events hollyhook passes on without reading them.
+//! Relaying of event streams whose events are passed on unparsed.
 
 mod event_sequencer;
 mod event_splitter;
--- a/crates/hollyhook_core/src/trace/mod.rs
+++ b/crates/hollyhook_core/src/trace/mod.rs
@@ -1,4 +1,4 @@
-//! Recorded traces of one generation's events, and their replay against a stated outcome.
+//! Recorded traces of one generation's events, and their replay against the recorded outcome.
 
 mod relay_trace;
 mod trace_line;
--- a/crates/hollyhook_core/src/trace/relay_trace.rs
+++ b/crates/hollyhook_core/src/trace/relay_trace.rs
@@ -4,33 +4,33 @@
 use super::{TraceEnd, TraceLine, TraceOutcome, TraceStart};
 use crate::{Error, ErrorKind, GenerationRelay, Name, RelayAction, RelayEvent, TimePoint};
 
-/// A recorded trace: one JSON object a line.
+/// A recorded trace; its text form has one JSON object per line.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RelayTrace {
     lines: Vec<TraceLine>,
 }
 
-/// A replay: what came of it, and every action in order.
+/// The result of replaying a trace.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TraceReplay {
-    /// What came of it.
+    /// The outcome of the replay.
     pub outcome: TraceOutcome,
-    /// The actions and when they were decided.
+    /// All actions in order, each with the time of its event.
     pub actions: Vec<(TimePoint, RelayAction)>,
 }
 
 impl RelayTrace {
-    /// A trace that begins so.
+    /// Creates a trace with this initial state of the relay.
     pub fn new(start: TraceStart) -> Self {
         Self { lines: vec![TraceLine::Start(start)] }
     }
 
-    /// Records an event.
+    /// Appends an event.
     pub fn push(&mut self, at: TimePoint, event: RelayEvent) {
         self.lines.push(TraceLine::At(at, event));
     }
 
-    /// Ends the trace with what a replay of it gives now.
+    /// Replays the trace and records the outcome as its last line, in place of an earlier one.
     ///
     /// # Errors
     ///
@@ -42,7 +42,7 @@
         Ok(())
     }
 
-    /// The outcome that the trace states.
+    /// The outcome that the trace expects of a replay.
     pub fn expected_outcome(&self) -> Option<&TraceOutcome> {
         self.lines.iter().find_map(|line| match line {
             TraceLine::Outcome(outcome) => Some(outcome),
@@ -50,7 +50,7 @@
         })
     }
 
-    /// The events in order.
+    /// The recorded events with their times, in order.
     pub fn events(&self) -> impl Iterator<Item = (TimePoint, &RelayEvent)> {
         self.lines.iter().filter_map(|line| match line {
             TraceLine::At(at, event) => Some((*at, event)),
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Feeds the events to a relay of now.
+    /// Replays the recorded events against the current implementation of the relay.
     ///
     /// # Errors
     ///
@@ -71,19 +71,19 @@
         let start = start.ok_or_else(|| invalid("the trace has no `start` line"))?;
         let relay = GenerationRelay::new(start.policy.clone());
         let mut relay = relay.taken_over(start.endpoint.clone(), start.attempt, start.delivered, start.digest);
-        let mut run = TraceReplay { outcome: TraceOutcome::open(start.delivered), actions: Vec::new() };
+        let mut result = TraceReplay { outcome: TraceOutcome::initial(start.delivered), actions: Vec::new() };
         for (at, event) in self.events() {
             for action in relay.on(at, event.clone()) {
-                run.outcome.take(&action);
-                run.actions.push((at, action));
+                result.outcome.apply(&action);
+                result.actions.push((at, action));
             }
         }
-        Ok(run)
+        Ok(result)
     }
 }
 
 impl TraceOutcome {
-    fn open(delivered: u64) -> Self {
+    fn initial(delivered: u64) -> Self {
         Self {
             end: TraceEnd::Open,
             delivered,
@@ -93,7 +93,7 @@
         }
     }
 
-    fn take(&mut self, action: &RelayAction) {
+    fn apply(&mut self, action: &RelayAction) {
         match action {
             RelayAction::Deliver { text, .. } => {
                 self.delivered += 1;
@@ -102,7 +102,7 @@
             RelayAction::Complete { .. } => self.end = TraceEnd::Whole,
             RelayAction::Fail { kind, .. } => self.end = TraceEnd::Failed(*kind),
             RelayAction::Cancel { attempt, .. } => self.cancelled.push(*attempt),
-            RelayAction::Count(note) => *self.notes.entry(Name::from(note.label())).or_default() += 1,
+            RelayAction::Count(counter) => *self.notes.entry(Name::from(counter.label())).or_default() += 1,
             _ => {}
         }
     }
@@ -130,6 +130,6 @@
     }
 }
 
-fn invalid(what: &str) -> Error {
-    Error::new(ErrorKind::InvalidRequest, format!("this is no trace: {what}")).param("trace")
+fn invalid(problem: &str) -> Error {
+    Error::new(ErrorKind::InvalidRequest, format!("invalid trace: {problem}")).param("trace")
 }
--- a/crates/hollyhook_core/src/trace/trace_line.rs
+++ b/crates/hollyhook_core/src/trace/trace_line.rs
@@ -8,59 +8,59 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TraceLine {
-    /// What the trace is about, in words.
+    /// A description of the trace for readers.
     About(Name),
-    /// How the relay begins; the first line but for what it is about.
+    /// The initial state of the relay; the first line apart from `About`.
     Start(TraceStart),
-    /// An event, at a time in microseconds.
+    /// An event and its time in microseconds.
     At(TimePoint, RelayEvent),
-    /// What must have come of it; the last line.
+    /// The outcome that a replay must have; the last line.
     Outcome(TraceOutcome),
 }
 
-/// How a relay begins.
+/// The initial state of a relay.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TraceStart {
-    /// The policy.
+    /// The relay's policy.
     pub policy: RelayPolicy,
-    /// Where the generation is taken over from, if it is and someone holds it.
+    /// The endpoint that holds the generation, if the relay takes over one that is still held.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub endpoint: Option<EndpointId>,
-    /// The first attempt on this host.
+    /// The number of the first attempt on this host.
     pub attempt: AttemptNumber,
-    /// Tokens that the caller held before.
+    /// The number of tokens that the caller already has.
     #[serde(default)]
     pub delivered: u64,
-    /// Their digest.
+    /// The digest of the tokens that the caller already has.
     #[serde(default)]
     pub digest: PrefixDigest,
 }
 
-/// How a generation ended on this host.
+/// How a generation ended on one host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TraceEnd {
-    /// Whole.
+    /// The caller received the complete generation.
     Whole,
-    /// With a truthful error.
+    /// The caller received an error.
     Failed(ErrorKind),
-    /// The caller left, or the trace stops before the end.
+    /// The caller disconnected, or the trace stops before the end.
     Open,
 }
 
-/// What came of a trace.
+/// The outcome of a trace.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TraceOutcome {
-    /// How it ended.
+    /// How the generation ended.
     pub end: TraceEnd,
-    /// Tokens that the caller holds, those from before included.
+    /// The number of tokens that the caller has, including those from before the trace.
     pub delivered: u64,
-    /// The text delivered on this host.
+    /// The text delivered by this host.
     pub text: String,
-    /// How often each note was made.
+    /// How often each [`RelayCounter`](crate::RelayCounter) was incremented, by label.
     #[serde(default)]
     pub notes: BTreeMap<Name, u64>,
-    /// Cancel orders given, by attempt.
+    /// The attempts that were cancelled, in order.
     #[serde(default)]
     pub cancelled: Vec<AttemptNumber>,
 }
--- a/crates/hollyhook_core/tests/fuzz/cursor_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/cursor_fuzz.rs
@@ -23,11 +23,12 @@
     }
 }
 
-/// What was sealed opens unchanged, and only for its account, its key and its time; anything altered is refused alike.
+/// A sealed cursor opens unchanged, and only for its account, with its key and up to its maximum age; all other cursors
+/// get the same error, so that it reveals nothing.
 #[test]
 fn cursor_altered() {
     let seal = CursorSeal::new(&CursorKey::new([7; 32]), Duration::from_secs(MAX_AGE));
-    let other = CursorSeal::new(&CursorKey::new([8; 32]), Duration::from_secs(MAX_AGE));
+    let foreign = CursorSeal::new(&CursorKey::new([8; 32]), Duration::from_secs(MAX_AGE));
     let rotated =
         CursorSeal::new(&CursorKey::new([8; 32]), Duration::from_secs(MAX_AGE)).previous_key(&CursorKey::new([7; 32]));
     let inputs = (any::<u128>(), any::<u64>(), "[a-z0-9-]{0,20}", 0..2_000_u64, any::<(usize, u8)>(), 0..2_000_u64);
@@ -45,7 +46,7 @@
         }
         let refusal = seal.open("franchise", &sealed, now).unwrap_err();
         assert_eq!(refusal.kind(), ErrorKind::CursorInvalid);
-        assert_eq!(other.open("office", &sealed, now).unwrap_err(), refusal);
+        assert_eq!(foreign.open("office", &sealed, now).unwrap_err(), refusal);
         let mut altered = sealed.clone().into_bytes();
         let place = place % altered.len();
         altered[place] = b'A' + change % 26;
--- a/crates/hollyhook_core/tests/fuzz/main.rs
+++ b/crates/hollyhook_core/tests/fuzz/main.rs
@@ -1,6 +1,6 @@
-//! Stateful fuzzing of the decisions against simple oracles that share no code with them.
+//! Stateful fuzzing of the decision logic against simple oracles that share no code with it.
 //!
-//! CI runs fixed seeds. A longer run with another seed, which is printed for replay:
+//! CI runs fixed seeds. Each run prints its seed, with which it can be repeated. A longer run with another seed:
 //! `HOLLYHOOK_FUZZ_CASES=100000 HOLLYHOOK_FUZZ_SEED=7 cargo test --release -p hollyhook_core --test fuzz -- --nocapture`
 
 mod call_fuzz;
--- a/crates/hollyhook_core/tests/fuzz/relay_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/relay_fuzz.rs
@@ -2,12 +2,12 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 
 use crate::harness::{Tally, fuzz};
-use crate::relay_simulation::{ENGINES, Step, World};
+use crate::relay_simulation::{ENGINES, RelaySimulation, Step};
 
-/// Sequences in CI.
+/// The number of sequences that CI runs.
 const CASES: u32 = 8_000;
 
-/// Any step may come at any time; the oracle is the world's caller, so there is no state to refer to.
+/// Sequences of random steps. The caller in the simulation is the oracle, so the reference state is only `is_greedy`.
 struct RelaySteps;
 
 impl ReferenceStateMachine for RelaySteps {
@@ -23,17 +23,17 @@
         prop_oneof![
             12 => engine().prop_map(Step::Produce),
             16 => Just(Step::Deliver),
-            3 => Just(Step::DeliverOld),
+            3 => Just(Step::DeliverOther),
             8 => Just(Step::AnswerSearch),
             4 => Just(Step::AnswerProbe),
-            1 => Just(Step::LoseProbe),
+            1 => Just(Step::DropProbes),
             6 => prop_oneof![4 => Just(10), 4 => Just(60), 4 => Just(300), 4 => Just(1_100), 1 => Just(4_500)].prop_map(Step::Advance),
             3 => engine().prop_map(Step::Kill),
             1 => engine().prop_map(Step::Revive),
             1 => engine().prop_map(Step::Pause),
-            1 => engine().prop_map(Step::Wake),
-            1 => engine().prop_map(Step::Fill),
-            1 => engine().prop_map(Step::Empty),
+            1 => engine().prop_map(Step::Unpause),
+            1 => engine().prop_map(Step::MarkFull),
+            1 => engine().prop_map(Step::MarkFree),
             1 => Just(Step::Silence),
             1 => Just(Step::Cut),
             1 => Just(Step::Truncate),
@@ -41,8 +41,8 @@
             1 => Just(Step::Swap),
             1 => Just(Step::HostDies),
             1 => Just(Step::HostPauses),
-            1 => Just(Step::OldHostActs),
-            2 => Just(Step::CallerReturns),
+            1 => Just(Step::FormerHostResumes),
+            2 => Just(Step::CallerReconnects),
         ]
         .boxed()
     }
@@ -55,20 +55,20 @@
 struct RelayTest;
 
 impl StateMachineTest for RelayTest {
-    type SystemUnderTest = World;
+    type SystemUnderTest = RelaySimulation;
     type Reference = RelaySteps;
 
-    fn init_test(ref_state: &bool) -> World {
-        World::new(*ref_state, TALLY.with(Tally::clone))
+    fn init_test(ref_state: &bool) -> RelaySimulation {
+        RelaySimulation::new(*ref_state, TALLY.with(Tally::clone))
     }
 
-    fn apply(mut state: World, _ref_state: &bool, transition: Step) -> World {
+    fn apply(mut state: RelaySimulation, _ref_state: &bool, transition: Step) -> RelaySimulation {
         state.apply(transition);
         state
     }
 
-    fn teardown(mut state: World, _ref_state: bool) {
-        state.settle();
+    fn teardown(mut state: RelaySimulation, _ref_state: bool) {
+        state.run_to_end();
         assert!(state.is_done());
     }
 }
@@ -77,9 +77,10 @@
     static TALLY: Tally = Tally::default();
 }
 
-/// Every token once, in order, of one generation; one truthful end; and an end at all once the faults are over.
+/// The caller gets each token once, in order and from one sample, and one true final answer, at the latest when the
+/// faults have ended.
 ///
-/// Faults put into the relay by hand that it caught, and how, are listed in docs/PROOFS.md.
+/// docs/PROOFS.md lists the defects that were injected into the relay, and how this test detected each.
 #[test]
 fn relay_under_faults() {
     let strategy = RelaySteps::sequential_strategy(1..70);
@@ -122,16 +123,16 @@
     });
 }
 
-/// A caller who leaves has its work cancelled, whatever else happens, and hears nothing more.
+/// The relay handles the disconnect of its caller after any sequence of steps.
 #[test]
-fn relay_caller_leaves() {
+fn relay_caller_disconnects() {
     let steps = (any::<bool>(), proptest::collection::vec(RelaySteps::transitions(&true), 1..40));
-    fuzz("relay, caller leaves", 1_000, &steps, |(is_greedy, steps)| {
-        let mut world = World::new(is_greedy, Tally::default());
+    fuzz("relay, caller disconnects", 1_000, &steps, |(is_greedy, steps)| {
+        let mut simulation = RelaySimulation::new(is_greedy, Tally::default());
         for step in steps {
-            world.apply(step);
+            simulation.apply(step);
         }
-        world.apply(Step::CallerLeaves);
-        world.settle();
+        simulation.apply(Step::CallerDisconnects);
+        simulation.run_to_end();
     });
 }
--- a/crates/hollyhook_core/tests/fuzz/relay_simulation.rs
+++ b/crates/hollyhook_core/tests/fuzz/relay_simulation.rs
@@ -1,4 +1,4 @@
-//! Fakes around the relays of several hosts: engines, connections, and a caller who checks what it is given.
+//! A simulation of the relays of several hosts with engines, connections, and a caller that verifies what it receives.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,59 +12,72 @@
 
 pub const ENGINES: usize = 3;
 
-/// What can happen next.
+/// A step of the simulation: progress or a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
+    /// The engine produces one token of the generation that it holds, and sends the unsent tokens.
     Produce(usize),
+    /// The next message of the current attempt on the caller's host is delivered.
     Deliver,
-    DeliverOld,
+    /// The next message of any other connection is delivered.
+    DeliverOther,
     AnswerSearch,
     AnswerProbe,
-    LoseProbe,
+    /// All pending probes get no answer.
+    DropProbes,
+    /// Time advances by this many milliseconds.
     Advance(u64),
     Kill(usize),
     Revive(usize),
     Pause(usize),
-    Wake(usize),
-    Fill(usize),
-    Empty(usize),
+    Unpause(usize),
+    MarkFull(usize),
+    MarkFree(usize),
+    /// All connections lose what engines send from now on, without breaking.
     Silence,
+    /// All open connections break.
     Cut,
+    /// All connections lose the last message in transit.
     Truncate,
+    /// All connections repeat the last message in transit.
     Double,
+    /// All connections swap the last two messages in transit.
     Swap,
+    /// The caller's host crashes.
     HostDies,
+    /// The caller's host pauses for so long that the caller abandons it.
     HostPauses,
-    OldHostActs,
-    CallerReturns,
-    CallerLeaves,
+    /// The hosts that the caller has abandoned run again.
+    FormerHostResumes,
+    CallerReconnects,
+    CallerDisconnects,
 }
 
-/// The length of a generation: engines that sample differently end at different places.
-fn total(lineage: u32) -> u64 {
-    5 - u64::from(lineage % 3)
+/// The number of tokens in a sample, which is one possible output of the model; samples differ in length.
+fn output_len(sample: u32) -> u64 {
+    5 - u64::from(sample % 3)
 }
 
-/// A token's text names the generation that it belongs to and its position in it.
-fn text(lineage: u32, position: u64) -> String {
-    format!("{lineage}.{position}")
+/// The text of a token: the sample that it belongs to and its position there.
+fn token_text(sample: u32, position: u64) -> String {
+    format!("{sample}.{position}")
 }
 
-fn lineage_of(text: &str) -> u32 {
+fn sample_of(text: &str) -> u32 {
     text.split('.').next().unwrap().parse().unwrap()
 }
 
-/// The generation that the tokens are the beginning of; behind any others a model goes on differently.
-fn resumed_lineage(log: &[String]) -> Option<u32> {
-    let lineage = lineage_of(log.first()?);
-    let is_beginning = log.iter().zip(0..).all(|(token, position)| *token == text(lineage, position));
-    is_beginning.then_some(lineage)
+/// The sample that begins with the logged tokens, if there is one; after other tokens a model continues differently.
+fn resumed_sample(log: &[String]) -> Option<u32> {
+    let sample = sample_of(log.first()?);
+    let is_beginning = log.iter().zip(0..).all(|(token, position)| *token == token_text(sample, position));
+    is_beginning.then_some(sample)
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct HeldGeneration {
     attempt: AttemptNumber,
-    lineage: u32,
+    sample: u32,
     produced: u64,
 }
 
@@ -73,7 +86,7 @@
     is_dead: bool,
     is_paused: bool,
     is_full: bool,
-    held: Option<Held>,
+    held: Option<HeldGeneration>,
 }
 
 #[derive(Debug, Clone)]
@@ -91,7 +104,7 @@
     host: usize,
     engine: usize,
     attempt: AttemptNumber,
-    /// The next position that the engine writes to it.
+    /// The position of the next token that the engine sends on this connection.
     next: u64,
     is_silent: bool,
     is_open: bool,
@@ -100,13 +113,13 @@
 
 struct Host {
     relay: GenerationRelay,
-    wake_at: Option<TimePoint>,
+    timer_at: Option<TimePoint>,
     searches: VecDeque<AttemptNumber>,
     probes: VecDeque<(AttemptNumber, usize)>,
     has_caller: bool,
 }
 
-/// What the caller holds, and the cursor that came with the last of it.
+/// The tokens that the caller has received, and the cursor that came with the last one.
 #[derive(Debug, Default)]
 struct Caller {
     tokens: Vec<String>,
@@ -129,7 +142,7 @@
     Failed(ErrorKind),
 }
 
-pub struct World {
+pub struct RelaySimulation {
     now: TimePoint,
     engines: Vec<Engine>,
     connections: Vec<Connection>,
@@ -137,7 +150,7 @@
     caller: Caller,
     /// Whether all engines would produce the same tokens from the same prompt.
     is_greedy: bool,
-    lineages: u32,
+    samples: u32,
     tally: Tally,
 }
 
@@ -145,30 +158,30 @@
     EndpointId::from(number.to_string())
 }
 
-impl World {
+impl RelaySimulation {
     pub fn new(is_greedy: bool, tally: Tally) -> Self {
         let engines = (0..ENGINES).map(|_| Engine::default()).collect();
-        let mut world = Self {
+        let mut simulation = Self {
             now: TimePoint::from_millis(1),
             engines,
             connections: Vec::new(),
             hosts: Vec::new(),
             caller: Caller::default(),
             is_greedy,
-            lineages: 0,
+            samples: 0,
             tally,
         };
-        world.add_host(GenerationRelay::new(RelayPolicy::favour_latency()));
-        world
+        simulation.add_host(GenerationRelay::new(RelayPolicy::favour_latency()));
+        simulation
     }
 
     fn add_host(&mut self, relay: GenerationRelay) {
-        let host = Host { relay, wake_at: None, searches: VecDeque::new(), probes: VecDeque::new(), has_caller: true };
+        let host = Host { relay, timer_at: None, searches: VecDeque::new(), probes: VecDeque::new(), has_caller: true };
         self.hosts.push(host);
-        self.feed(self.hosts.len() - 1, RelayEvent::Started);
+        self.send_event(self.hosts.len() - 1, RelayEvent::Started);
     }
 
-    fn current(&self) -> Option<usize> {
+    fn current_host(&self) -> Option<usize> {
         self.hosts.iter().position(|host| host.has_caller)
     }
 
@@ -177,17 +190,17 @@
         match step {
             Step::Produce(engine) => self.produce(engine),
             Step::Deliver => self.deliver(true),
-            Step::DeliverOld => self.deliver(false),
+            Step::DeliverOther => self.deliver(false),
             Step::AnswerSearch => self.answer_search(),
             Step::AnswerProbe => self.answer_probe(),
-            Step::LoseProbe => self.hosts.iter_mut().for_each(|host| host.probes.clear()),
+            Step::DropProbes => self.hosts.iter_mut().for_each(|host| host.probes.clear()),
             Step::Advance(millis) => self.advance(millis),
             Step::Kill(engine) => self.kill(engine),
             Step::Revive(engine) => self.engines[engine] = Engine::default(),
             Step::Pause(engine) => self.engines[engine].is_paused = true,
-            Step::Wake(engine) => self.engines[engine].is_paused = false,
-            Step::Fill(engine) => self.engines[engine].is_full = true,
-            Step::Empty(engine) => self.engines[engine].is_full = false,
+            Step::Unpause(engine) => self.engines[engine].is_paused = false,
+            Step::MarkFull(engine) => self.engines[engine].is_full = true,
+            Step::MarkFree(engine) => self.engines[engine].is_full = false,
             Step::Silence => self.connections.iter_mut().for_each(|connection| connection.is_silent = true),
             Step::Cut => self.connections.iter_mut().for_each(Connection::cut),
             Step::Truncate => self.disturb(|queue| {
@@ -204,11 +217,11 @@
                     queue.swap(last, last - 1);
                 }
             }),
-            Step::HostDies => self.lose_host(true),
-            Step::HostPauses => self.lose_host(false),
-            Step::OldHostActs => self.old_host_acts(),
-            Step::CallerReturns => self.caller_returns(),
-            Step::CallerLeaves => self.caller_leaves(),
+            Step::HostDies => self.detach_host(true),
+            Step::HostPauses => self.detach_host(false),
+            Step::FormerHostResumes => self.resume_former_hosts(),
+            Step::CallerReconnects => self.reconnect_caller(),
+            Step::CallerDisconnects => self.disconnect_caller(),
         }
     }
 
@@ -218,13 +231,13 @@
             return;
         }
         if let Some(held) = &mut engine.held {
-            held.produced = (held.produced + 1).min(total(held.lineage));
+            held.produced = (held.produced + 1).min(output_len(held.sample));
         }
-        self.write_out(number);
+        self.send_produced(number);
     }
 
-    /// Writes to the newest attachment what it does not have.
-    fn write_out(&mut self, number: usize) {
+    /// Sends the produced tokens that are unsent, on the connection of the newest attempt.
+    fn send_produced(&mut self, number: usize) {
         let Some(held) = self.engines[number].held.clone() else {
             return;
         };
@@ -236,23 +249,23 @@
         };
         while connection.next < held.produced {
             let position = connection.next;
-            connection.write(Message::Token(position, text(held.lineage, position)));
+            connection.write(Message::Token(position, token_text(held.sample, position)));
             connection.next += 1;
         }
-        if held.produced == total(held.lineage) {
+        if held.produced == output_len(held.sample) {
             connection.write(Message::End(held.produced));
         }
     }
 
-    /// Delivers the oldest message of the current attempt of the caller's host, or of any other connection.
+    /// Delivers the oldest message of the current attempt on the caller's host, or of any other connection.
     fn deliver(&mut self, is_current: bool) {
-        let current = self.current();
-        let attempt = current.map(|host| self.hosts[host].relay.attempt());
-        let fits = |connection: &Connection| {
-            let is_it = Some(connection.host) == current && Some(connection.attempt) == attempt;
-            is_it == is_current && !connection.queue.is_empty()
+        let current_host = self.current_host();
+        let attempt = current_host.map(|host| self.hosts[host].relay.attempt());
+        let is_selected = |connection: &Connection| {
+            let is_of_current = Some(connection.host) == current_host && Some(connection.attempt) == attempt;
+            is_of_current == is_current && !connection.queue.is_empty()
         };
-        let Some(connection) = self.connections.iter_mut().find(|connection| fits(connection)) else {
+        let Some(connection) = self.connections.iter_mut().find(|connection| is_selected(connection)) else {
             return;
         };
         let (host, attempt) = (connection.host, connection.attempt);
@@ -265,7 +278,7 @@
             Message::Unreachable => RelayEvent::Unreachable { attempt },
             Message::Lost => RelayEvent::ConnectionLost { attempt },
         };
-        self.feed(host, event);
+        self.send_event(host, event);
     }
 
     fn disturb(&mut self, change: impl Fn(&mut VecDeque<Message>)) {
@@ -275,22 +288,22 @@
     }
 
     fn answer_search(&mut self) {
-        let Some(host) = self.current().filter(|host| !self.hosts[*host].searches.is_empty()) else {
+        let Some(host) = self.current_host().filter(|host| !self.hosts[*host].searches.is_empty()) else {
             return;
         };
         let attempt = self.hosts[host].searches.pop_front().unwrap();
-        // A router learns of a death late, so it may still send to a dead engine.
+        // Routing detects a dead engine with a delay, so the search may still assign one.
         let choice = (attempt.get() as usize + self.now.as_micros() as usize / 7) % ENGINES;
         let event = if self.engines.iter().all(|engine| engine.is_dead || engine.is_full) {
             RelayEvent::Unassigned { attempt, retry_after: Duration::from_secs(1) }
         } else {
             RelayEvent::Assigned { attempt, endpoint: engine_id(choice) }
         };
-        self.feed(host, event);
+        self.send_event(host, event);
     }
 
     fn answer_probe(&mut self) {
-        let Some(host) = self.current().filter(|host| !self.hosts[*host].probes.is_empty()) else {
+        let Some(host) = self.current_host().filter(|host| !self.hosts[*host].probes.is_empty()) else {
             return;
         };
         let (attempt, number) = self.hosts[host].probes.pop_front().unwrap();
@@ -298,65 +311,65 @@
         let report = match &engine.held {
             _ if engine.is_dead || engine.is_paused => ProbeReport::Dead,
             Some(held) => {
-                let is_finished = held.produced == total(held.lineage);
+                let is_finished = held.produced == output_len(held.sample);
                 ProbeReport::Holds { produced: held.produced, is_finished }
             }
             None => ProbeReport::Lives,
         };
         self.tally.count(format!("probe {report:?}").split(' ').take(2).collect::<Vec<_>>().join(" "));
-        self.feed(host, RelayEvent::Probed { attempt, report });
+        self.send_event(host, RelayEvent::Probed { attempt, report });
     }
 
     fn advance(&mut self, millis: u64) {
         self.now = self.now + Duration::from_millis(millis);
         for host in 0..self.hosts.len() {
-            let is_awake = self.hosts[host].has_caller;
-            if is_awake && self.hosts[host].wake_at.is_some_and(|at| at <= self.now) {
-                self.hosts[host].wake_at = None;
+            let has_caller = self.hosts[host].has_caller;
+            if has_caller && self.hosts[host].timer_at.is_some_and(|at| at <= self.now) {
+                self.hosts[host].timer_at = None;
                 let timeouts = StreamTimeouts {
                     first_token: Duration::from_millis(800),
                     between_tokens: Duration::from_millis(250),
                 };
-                self.feed(host, RelayEvent::TimerFired { timeouts });
+                self.send_event(host, RelayEvent::TimerFired { timeouts });
             }
         }
     }
 
     fn kill(&mut self, number: usize) {
         self.engines[number] = Engine { is_dead: true, ..Engine::default() };
-        let its = |connection: &&mut Connection| connection.engine == number;
-        self.connections.iter_mut().filter(its).for_each(Connection::cut);
+        let is_affected = |connection: &&mut Connection| connection.engine == number;
+        self.connections.iter_mut().filter(is_affected).for_each(Connection::cut);
     }
 
-    /// The caller's host dies, or is paused for so long that the caller gives it up.
-    fn lose_host(&mut self, is_dead: bool) {
-        let Some(host) = self.current() else {
+    /// Makes the caller's host crash, or pause for so long that the caller abandons it.
+    fn detach_host(&mut self, is_dead: bool) {
+        let Some(host) = self.current_host() else {
             return;
         };
         self.hosts[host].has_caller = false;
         if is_dead {
             self.hosts[host].searches.clear();
             self.hosts[host].probes.clear();
-            self.hosts[host].wake_at = None;
+            self.hosts[host].timer_at = None;
             self.connections.retain(|connection| connection.host != host);
         }
     }
 
-    /// A host that was paused goes on: what waited for it comes first, then it finds its caller gone.
-    fn old_host_acts(&mut self) {
+    /// Resumes the hosts that lost their caller: each handles its pending searches, then the caller's disconnect.
+    fn resume_former_hosts(&mut self) {
         for host in 0..self.hosts.len() {
             if !self.hosts[host].has_caller {
                 while let Some(attempt) = self.hosts[host].searches.pop_front() {
                     let endpoint = engine_id(attempt.get() as usize % ENGINES);
-                    self.feed(host, RelayEvent::Assigned { attempt, endpoint });
+                    self.send_event(host, RelayEvent::Assigned { attempt, endpoint });
                 }
-                self.feed(host, RelayEvent::CallerLeft);
+                self.send_event(host, RelayEvent::CallerLeft);
             }
         }
     }
 
-    /// The caller comes back to another host with its cursor, or begins again if it holds nothing.
-    fn caller_returns(&mut self) {
+    /// Reconnects the caller to another host with its cursor, or starts a new generation if it has no token.
+    fn reconnect_caller(&mut self) {
         let is_retry = matches!(
             self.caller.end,
             None | Some(End::Failed(ErrorKind::GenerationLost | ErrorKind::NoEndpoint | ErrorKind::Superseded))
@@ -364,7 +377,7 @@
         if self.caller.has_left || !is_retry || self.hosts.len() > 6 {
             return;
         }
-        if let Some(host) = self.current() {
+        if let Some(host) = self.current_host() {
             if self.caller.end.is_none() {
                 return;
             }
@@ -373,14 +386,14 @@
         self.caller.end = None;
         let relay = GenerationRelay::new(RelayPolicy::favour_latency());
         let Some(cursor) = self.caller.cursor.clone() else {
-            // Without a cursor it is a new generation, whose name nothing of the old one has.
+            // A caller without a cursor starts a generation with a new id, of which hosts and engines hold nothing.
             self.caller.tokens.clear();
             self.hosts.clear();
             self.connections.clear();
             self.engines.iter_mut().for_each(|engine| engine.held = None);
             return self.add_host(relay);
         };
-        // The new host asks the endpoint of the cursor what it holds, as the daemon does.
+        // As in the daemon, the new host queries the endpoint in the cursor for the generation.
         let engine = &self.engines[cursor.engine];
         let held = engine.held.as_ref().filter(|_| !engine.is_dead && !engine.is_paused);
         let newest = held.map_or(AttemptNumber::FIRST, |held| held.attempt).max(cursor.attempt);
@@ -389,15 +402,15 @@
         self.add_host(relay.taken_over(endpoint, newest.takeover(), cursor.position, cursor.digest));
     }
 
-    fn caller_leaves(&mut self) {
+    fn disconnect_caller(&mut self) {
         self.caller.has_left = true;
-        if let Some(host) = self.current() {
+        if let Some(host) = self.current_host() {
             self.hosts[host].has_caller = false;
-            self.feed(host, RelayEvent::CallerLeft);
+            self.send_event(host, RelayEvent::CallerLeft);
         }
     }
 
-    fn feed(&mut self, host: usize, event: RelayEvent) {
+    fn send_event(&mut self, host: usize, event: RelayEvent) {
         for action in self.hosts[host].relay.on(self.now, event) {
             self.perform(host, action);
         }
@@ -409,7 +422,7 @@
             RelayAction::Probe { attempt, endpoint } => {
                 self.hosts[host].probes.push_back((attempt, endpoint.parse().unwrap()));
             }
-            RelayAction::SetTimer { at } => self.hosts[host].wake_at = Some(at),
+            RelayAction::SetTimer { at } => self.hosts[host].timer_at = Some(at),
             RelayAction::Open { attempt, endpoint, mode } => self.open(host, attempt, endpoint.parse().unwrap(), mode),
             RelayAction::Cancel { attempt, endpoint } => {
                 self.close(host, attempt);
@@ -422,14 +435,14 @@
             RelayAction::Deliver { position, text } => self.check_token(host, position, &text),
             RelayAction::Complete { tokens, .. } => self.check_end(host, End::Whole, tokens),
             RelayAction::Fail { kind, delivered } => self.check_end(host, End::Failed(kind), delivered),
-            RelayAction::Count(note) => self.tally.count(note.label()),
+            RelayAction::Count(counter) => self.tally.count(counter.label()),
         }
     }
 
     fn close(&mut self, host: usize, attempt: AttemptNumber) {
-        // What is on its way still arrives: the relay must not need a prompt close.
-        let its = |connection: &&mut Connection| connection.host == host && connection.attempt == attempt;
-        self.connections.iter_mut().filter(its).for_each(|connection| connection.is_open = false);
+        // Messages in transit still arrive: the relay must not depend on connections closing at once.
+        let is_affected = |connection: &&mut Connection| connection.host == host && connection.attempt == attempt;
+        self.connections.iter_mut().filter(is_affected).for_each(|connection| connection.is_open = false);
     }
 
     fn open(&mut self, host: usize, attempt: AttemptNumber, number: usize, mode: OpenMode) {
@@ -447,13 +460,13 @@
         let connection = Connection { host, engine: number, attempt, next, is_silent: false, is_open, queue };
         self.connections.push(connection);
         if is_open {
-            self.write_out(number);
+            self.send_produced(number);
         }
     }
 
-    /// The engine's answer to an attempt; none if it is paused and says nothing.
+    /// Submits an attempt and returns the engine's answer, or `None` if the engine is paused and does not answer.
     fn submit(&mut self, number: usize, attempt: AttemptNumber, mode: OpenMode, log: &[String]) -> Option<Message> {
-        let lineage = if self.is_greedy { 0 } else { self.lineages + 1 };
+        let sample = if self.is_greedy { 0 } else { self.samples + 1 };
         let engine = &mut self.engines[number];
         if engine.is_dead {
             return Some(Message::Unreachable);
@@ -475,26 +488,26 @@
         if engine.is_full {
             return Some(Message::Refused(EndpointRefusal::Busy));
         }
-        self.lineages = self.lineages.max(lineage);
-        let lineage = if mode == OpenMode::Resume { resumed_lineage(log).unwrap_or(lineage) } else { lineage };
+        self.samples = self.samples.max(sample);
+        let sample = if mode == OpenMode::Resume { resumed_sample(log).unwrap_or(sample) } else { sample };
         let produced = if mode == OpenMode::Resume { log.len() as u64 } else { 0 };
-        engine.held = Some(Held { attempt, lineage, produced });
+        engine.held = Some(HeldGeneration { attempt, sample, produced });
         Some(Message::Opened)
     }
 
-    /// The oracle for tokens: each once, in order, all of the generation that the first belongs to.
+    /// Verifies a delivered token: each arrives once, in order, and from the same sample as the first.
     fn check_token(&mut self, host: usize, position: u64, given: &str) {
         if !self.hosts[host].has_caller {
             return;
         }
-        assert_eq!(self.caller.end, None, "a token behind the final answer");
-        assert_eq!(position, self.caller.tokens.len() as u64, "a token is missing, doubled or out of order");
-        let lineage = self.caller.tokens.first().map_or_else(|| lineage_of(given), |first| lineage_of(first));
-        assert_eq!(given, text(lineage, position), "a token of another generation");
+        assert_eq!(self.caller.end, None, "a token was delivered after the final answer");
+        assert_eq!(position, self.caller.tokens.len() as u64, "a token was skipped, repeated or reordered");
+        let sample = self.caller.tokens.first().map_or_else(|| sample_of(given), |first| sample_of(first));
+        assert_eq!(given, token_text(sample, position), "the token belongs to another sample");
         self.caller.tokens.push(given.to_owned());
         let relay = &self.hosts[host].relay;
         self.caller.cursor = Some(Cursor {
-            // The relay hands out several actions at a time; the caller's cursor is of the last token.
+            // The relay returns several actions at a time; the caller's cursor belongs to the last token.
             position: relay.delivered(),
             digest: relay.digest(),
             attempt: relay.attempt(),
@@ -502,29 +515,29 @@
         });
     }
 
-    /// The oracle for ends: one, and truthful about how far it got.
+    /// Verifies a final answer: there is only one, and its kind and token count are true.
     fn check_end(&mut self, host: usize, end: End, delivered: u64) {
         if !self.hosts[host].has_caller {
             return;
         }
-        assert_eq!(self.caller.end, None, "a second final answer");
-        assert_eq!(delivered, self.caller.tokens.len() as u64, "the end does not say how far it got");
+        assert_eq!(self.caller.end, None, "the caller got a second final answer");
+        assert_eq!(delivered, self.caller.tokens.len() as u64, "the final answer states a wrong token count");
         if end == End::Whole {
-            let lineage = lineage_of(&self.caller.tokens[0]);
-            assert_eq!(delivered, total(lineage), "an answer is called whole that is not");
+            let sample = sample_of(&self.caller.tokens[0]);
+            assert_eq!(delivered, output_len(sample), "an incomplete answer was reported as complete");
         }
         if end == End::Failed(ErrorKind::NoEndpoint) {
-            assert_eq!(delivered, 0, "said not to have run, but tokens were delivered");
+            assert_eq!(delivered, 0, "`NoEndpoint` was returned, but tokens were delivered");
         }
         if end == End::Failed(ErrorKind::GenerationDiverged) {
-            assert!(!self.is_greedy, "a replay of the same tokens was refused");
+            assert!(!self.is_greedy, "`GenerationDiverged` was returned for a replay of the same tokens");
         }
         self.tally.count(format!("end {end:?}"));
         self.caller.end = Some(end);
     }
 
-    /// With the faults over, a caller who stays gets the final answer, and the next token within 4 s.
-    pub fn settle(&mut self) {
+    /// Ends all faults and runs the generation to its final answer; fails if a connected caller gets no token for 4 s.
+    pub fn run_to_end(&mut self) {
         const TICK_MILLIS: u64 = 20;
         const LIMIT: Duration = Duration::from_secs(4);
         for number in 0..ENGINES {
@@ -537,16 +550,16 @@
         if self.caller.has_left {
             return;
         }
-        self.old_host_acts();
+        self.resume_former_hosts();
         let mut last_progress = self.now;
         let mut tokens = self.caller.tokens.len();
         while !matches!(self.caller.end, Some(End::Whole | End::Failed(ErrorKind::GenerationDiverged))) {
-            if self.current().is_none() || self.caller.end.is_some() {
-                // A caller who is told to come back does; hosts are not the limit here.
+            if self.current_host().is_none() || self.caller.end.is_some() {
+                // A caller that got a retryable error reconnects; the number of hosts must not limit that here.
                 self.hosts.iter_mut().for_each(|host| host.has_caller = false);
-                self.old_host_acts();
-                self.forget_old_hosts();
-                self.caller_returns();
+                self.resume_former_hosts();
+                self.drop_former_hosts();
+                self.reconnect_caller();
             }
             (0..ENGINES).for_each(|number| self.produce(number));
             for _ in 0..8 {
@@ -562,27 +575,27 @@
             }
             assert!(
                 self.now.since(last_progress) <= LIMIT,
-                "no token for 4 s though engines live: {}",
+                "no token for 4 s though all engines are available: {}",
                 self.describe()
             );
         }
     }
 
-    fn forget_old_hosts(&mut self) {
-        let old = self.hosts.len();
-        if old > 4 {
+    fn drop_former_hosts(&mut self) {
+        let number = self.hosts.len();
+        if number > 4 {
             self.hosts.drain(..);
             self.connections.clear();
         }
     }
 
     fn describe(&self) -> String {
-        let phase = self.current().map(|host| self.hosts[host].relay.phase());
+        let phase = self.current_host().map(|host| self.hosts[host].relay.phase());
         format!("{:?}, {phase:?}, {:?}", self.caller.end, self.caller.tokens)
     }
 
     pub fn is_done(&self) -> bool {
-        self.current().is_none_or(|host| self.hosts[host].relay.phase() == RelayPhase::Done)
+        self.current_host().is_none_or(|host| self.hosts[host].relay.phase() == RelayPhase::Done)
     }
 }
 
--- a/crates/hollyhook_core/tests/traces.rs
+++ b/crates/hollyhook_core/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Recorded traces, replayed against the outcomes that they state.
+//! Replays recorded traces and compares the outcomes with those that the traces expect.
 
 use std::path::Path;
 
@@ -6,8 +6,8 @@
 
 fn replay_trace(path: &Path) -> datatest_stable::Result<()> {
     let trace: RelayTrace = std::fs::read_to_string(path)?.parse()?;
-    let run = trace.replay()?;
-    assert_eq!(Some(&run.outcome), trace.expected_outcome(), "{:#?}", run.actions);
+    let replay = trace.replay()?;
+    assert_eq!(Some(&replay.outcome), trace.expected_outcome(), "{:#?}", replay.actions);
     Ok(())
 }
 
