--- a/crates/hollyhook_core/src/generation/relay_policy.rs
+++ b/crates/hollyhook_core/src/generation/relay_policy.rs
@@ -17,7 +17,7 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RelayPolicy {
-    /// The factor of the mean deviation in a stream's timeout, which is the mean latency plus this multiple.
+    /// A stream's timeout is the endpoint's mean latency plus this many mean deviations, within the bounds below.
     pub silence_factor: f64,
     /// The lower bound of the timeout between tokens.
     #[serde(with = "span_millis")]
--- a/crates/hollyhook_core/tests/gateway/silence.rs
+++ b/crates/hollyhook_core/tests/gateway/silence.rs
@@ -28,7 +28,11 @@
 
 #[test]
 fn check_absent_request() {
-    assert_eq!(reports_waited(Some(&report(0, &[("other", 9)])), 0), 1, "the report may be older than the request");
+    assert_eq!(
+        reports_waited(Some(&report(0, &[("other", 9)])), 0),
+        1,
+        "the first report may be older than the request"
+    );
     assert_eq!(reports_waited(Some(&report(0, &[])), 50), 1);
 }
 
