--- a/crates/hollyhook_core/src/stream/event_cutter.rs
+++ b/crates/hollyhook_core/src/stream/event_splitter.rs
@@ -1,56 +1,56 @@
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The most bytes of one event; a longer one is a fault of the endpoint.
+/// The maximum size of one event; a larger one is treated as a fault of the endpoint.
 const MAX_EVENT_BYTES: usize = 256 * 1_024;
 
-/// One whole event, as the endpoint sent it.
+/// One whole event, as sent by the endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EventPiece {
-    /// Its number, if it has one.
+pub struct RawEvent {
+    /// The event's number, if it has one.
     pub id: Option<u64>,
-    /// All its bytes, with the blank line that ends it.
+    /// All bytes of the event, including the blank line that ends it.
     pub bytes: Bytes,
 }
 
-/// Cuts a stream of bytes into whole events and holds back what is not whole.
+/// Splits a byte stream into whole events and buffers the incomplete rest.
 ///
 /// ```
-/// use hollyhook_core::EventCutter;
+/// use hollyhook_core::EventSplitter;
 ///
-/// let mut cutter = EventCutter::default();
-/// cutter.feed(b"id: 4\ndata: a\n\nid: 5\nda");
-/// assert_eq!(cutter.next_piece().unwrap().id, Some(4));
-/// assert!(cutter.next_piece().is_none());
-/// assert!(cutter.has_rest());
+/// let mut splitter = EventSplitter::default();
+/// splitter.feed(b"id: 4\ndata: a\n\nid: 5\nda");
+/// assert_eq!(splitter.next_event().unwrap().id, Some(4));
+/// assert!(splitter.next_event().is_none());
+/// assert!(splitter.has_partial_event());
 /// ```
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     bytes: BytesMut,
-    /// Bytes at the start that hold no end of an event.
+    /// The number of leading bytes that are known to contain no end of an event.
     searched: usize,
 }
 
-impl EventCutter {
-    /// Takes the next bytes in.
+impl EventSplitter {
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next whole event, if there is one.
-    pub fn next_piece(&mut self) -> Option<EventPiece> {
+    /// Removes and returns the next whole event, if one is buffered.
+    pub fn next_event(&mut self) -> Option<RawEvent> {
         let end = self.find_end()?;
         let bytes = self.bytes.split_to(end).freeze();
         self.searched = 0;
-        Some(EventPiece { id: find_id(&bytes), bytes })
+        Some(RawEvent { id: find_id(&bytes), bytes })
     }
 
-    /// Whether part of an event is held back.
-    pub fn has_rest(&self) -> bool {
+    /// Whether bytes of an incomplete event are buffered, once all whole events have been removed.
+    pub fn has_partial_event(&self) -> bool {
         self.bytes.has_remaining()
     }
 
-    /// Whether the event held back is longer than any endpoint sends.
-    pub fn is_overfull(&self) -> bool {
+    /// Whether the buffered incomplete event exceeds the maximum size, once all whole events have been removed.
+    pub fn is_oversized(&self) -> bool {
         self.bytes.len() > MAX_EVENT_BYTES
     }
 
--- /dev/null
+++ b/crates/hollyhook_core/src/stream/liveness_checker.rs
@@ -0,0 +1,59 @@
+use crate::EngineReport;
+
+/// Reports with neither the run nor a queued request after which the run counts as absent. The first such report may
+/// be older than the request.
+const MAX_ABSENT_REPORTS: u32 = 2;
+/// Events that an engine may have produced but that are still in flight, given that its report is a few hundred
+/// milliseconds old and that the stream was silent for longer.
+const MAX_EVENTS_IN_FLIGHT: u64 = 3;
+/// Reports in which a run has no further event, between two events, after which the run counts as stalled.
+const MAX_STALLED_REPORTS: u32 = 3;
+/// Reports after which a request that is still waiting for its prompt to be processed is given up; about ten seconds.
+/// This is only an upper bound, since another engine would have to process the prompt from the start.
+const MAX_QUEUED_REPORTS: u32 = 30;
+
+/// Whether to keep waiting for a silent attempt.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LivenessVerdict {
+    /// The engine is still working on the request.
+    Wait,
+    /// The engine, the run or the connection is lost.
+    Abandon,
+}
+
+/// Decides from the engine's reports whether an attempt that is silent is still being worked on.
+///
+/// Distinguishes three causes of a silence: a dead engine sends no report; an engine that processes other prompts first
+/// reports queued requests; behind a broken connection, the engine reports more events than were received.
+#[derive(Debug, Clone, Default)]
+pub struct LivenessChecker {
+    absent: u32,
+    stalled: u32,
+    queued: u32,
+}
+
+impl LivenessChecker {
+    /// Evaluates the next report, or its absence.
+    ///
+    /// `delivered` is the number of the last event received or the count of events received, whichever is larger; 0
+    /// before the attempt's first event.
+    pub fn check(&mut self, report: Option<&EngineReport>, attempt_id: &str, delivered: u64) -> LivenessVerdict {
+        let Some(report) = report else {
+            return LivenessVerdict::Abandon;
+        };
+        let run = report.runs.iter().find(|run| &*run.attempt_id == attempt_id);
+        let is_lost = match run {
+            Some(run) if run.events > delivered + MAX_EVENTS_IN_FLIGHT => true,
+            Some(_) if delivered > 0 => reaches_limit(&mut self.stalled, MAX_STALLED_REPORTS),
+            Some(_) => reaches_limit(&mut self.queued, MAX_QUEUED_REPORTS),
+            None if report.has_unread() => reaches_limit(&mut self.queued, MAX_QUEUED_REPORTS),
+            None => reaches_limit(&mut self.absent, MAX_ABSENT_REPORTS),
+        };
+        if is_lost { LivenessVerdict::Abandon } else { LivenessVerdict::Wait }
+    }
+}
+
+fn reaches_limit(count: &mut u32, limit: u32) -> bool {
+    *count += 1;
+    *count >= limit
+}
