--- a/crates/hollyhook_core/src/feed/era_ledger.rs
+++ b/crates/hollyhook_core/src/feed/era_tracker.rs
@@ -17,24 +17,24 @@
 /// use hollyhook_core::{EraLedger, EraVerdict};
 ///
 /// let mut ledger = EraLedger::default();
-/// assert_eq!(ledger.judge(None), EraVerdict::Same, "a store that does not tell its era");
-/// assert_eq!(ledger.judge(Some(3)), EraVerdict::Newer);
-/// assert_eq!(ledger.judge(Some(2)), EraVerdict::Older);
+/// assert_eq!(ledger.observe(None), EraVerdict::Same, "a store that does not tell its era");
+/// assert_eq!(ledger.observe(Some(3)), EraVerdict::Newer);
+/// assert_eq!(ledger.observe(Some(2)), EraVerdict::Older);
 /// assert_eq!(ledger.era(), 3);
 /// ```
 #[derive(Debug, Default)]
-pub struct EraLedger {
+pub struct EraTracker {
     newest: Option<u64>,
 }
 
-impl EraLedger {
+impl EraTracker {
     /// The newest era; zero if the store does not tell it.
     pub fn era(&self) -> u64 {
         self.newest.unwrap_or_default()
     }
 
     /// Judges an answer by the era that it tells, and remembers a newer one.
-    pub fn judge(&mut self, told: Option<u64>) -> EraVerdict {
+    pub fn observe(&mut self, told: Option<u64>) -> EraVerdict {
         let verdict = match (told, self.newest) {
             (None, None) => EraVerdict::Same,
             (None, Some(_)) => EraVerdict::Missing,
--- a/crates/hollyhook_core/src/feed/feed_log.rs
+++ b/crates/hollyhook_core/src/feed/feed_log.rs
@@ -19,7 +19,7 @@
 /// Objects up to which a host tells everything at once whose link carries `link_mbps` Mbit/s.
 ///
 /// What a host can't tell in time, others read in the store and come back with a later revision.
-pub fn most_told(link_mbps: u32) -> usize {
+pub fn snapshot_limit(link_mbps: u32) -> usize {
     let bytes = u64::from(link_mbps) * BYTES_PER_MBIT * TELLING_S;
     ((bytes / ASKING_AT_ONCE / OBJECT_BYTES) as usize).max(LEAST_TOLD)
 }
@@ -42,25 +42,25 @@
 
 /// What a follower is told.
 #[derive(Debug, Clone, PartialEq)]
-pub struct FeedNews<T> {
+pub struct FeedUpdate<T> {
     /// Whether these are all objects that there are, rather than what changed.
-    pub is_whole: bool,
+    pub is_snapshot: bool,
     /// The objects, or the changes in order.
     pub changes: Vec<FeedChange<T>>,
     /// The store's revision up to which they go.
     pub revision: StoreRevision,
     /// Until when it is known that nothing else changed.
-    pub heard_until: TimePoint,
+    pub confirmed_until: TimePoint,
     /// From when on entries that lapsed while the store was away have their time to come back.
-    pub back_at: Option<TimePoint>,
+    pub grace_start: Option<TimePoint>,
     /// Hosts that told it on; zero if the store itself said it.
     pub hops: u32,
 }
 
-impl<T> FeedNews<T> {
+impl<T> FeedUpdate<T> {
     /// Whether they only say that nothing changed.
     pub fn is_empty(&self) -> bool {
-        !self.is_whole && self.changes.is_empty()
+        !self.is_snapshot && self.changes.is_empty()
     }
 }
 
@@ -73,9 +73,9 @@
 /// let object = FeedChange { name: "a".into(), object: Some(1) };
 /// let whole = FeedNews { is_whole: true, changes: vec![object], revision, heard_until: at, back_at: None, hops: 0 };
 /// let mut log = FeedLog::default();
-/// log.take(&whole);
-/// assert_eq!(log.after(Some(revision)).unwrap().changes, []);
-/// assert!(log.after(None).unwrap().is_whole);
+/// log.apply(&whole);
+/// assert_eq!(log.update_after(Some(revision)).unwrap().changes, []);
+/// assert!(log.update_after(None).unwrap().is_whole);
 /// ```
 #[derive(Debug)]
 pub struct FeedLog<T> {
@@ -86,12 +86,12 @@
     revision: StoreRevision,
     /// The spans of the store's history that this host never saw: from what it knew to a list of everything, oldest first.
     gaps: VecDeque<(StoreRevision, StoreRevision)>,
-    heard_until: TimePoint,
-    back_at: Option<TimePoint>,
+    confirmed_until: TimePoint,
+    grace_start: Option<TimePoint>,
     /// Hosts that told on what is known.
     hops: u32,
     is_known: bool,
-    most_told: usize,
+    snapshot_limit: usize,
 }
 
 impl<T> Default for FeedLog<T> {
@@ -102,11 +102,11 @@
             kept_from: StoreRevision::default(),
             revision: StoreRevision::default(),
             gaps: VecDeque::new(),
-            heard_until: TimePoint::ZERO,
-            back_at: None,
+            confirmed_until: TimePoint::ZERO,
+            grace_start: None,
             hops: 0,
             is_known: false,
-            most_told: LEAST_TOLD,
+            snapshot_limit: LEAST_TOLD,
         }
     }
 }
@@ -114,39 +114,39 @@
 impl<T: Clone + PartialEq> FeedLog<T> {
     /// The same log that tells up to so many objects at once.
     #[must_use]
-    pub fn most_told(mut self, objects: usize) -> Self {
-        self.most_told = objects;
+    pub fn snapshot_limit(mut self, objects: usize) -> Self {
+        self.snapshot_limit = objects;
         self
     }
 
     /// Takes news in.
-    pub fn take(&mut self, news: &FeedNews<T>) {
+    pub fn apply(&mut self, news: &FeedUpdate<T>) {
         // What a store said before it came back from an older copy replaces nothing of what it says since.
         if news.revision.era < self.revision.era {
             return;
         }
         self.hops = news.hops;
-        self.heard_until = self.heard_until.max(news.heard_until);
-        self.back_at = self.back_at.max(news.back_at);
+        self.confirmed_until = self.confirmed_until.max(news.confirmed_until);
+        self.grace_start = self.grace_start.max(news.grace_start);
         let is_of_other_store = news.revision.era == self.revision.era && news.revision < self.revision;
-        if news.is_whole && (!self.is_known || is_of_other_store) {
+        if news.is_snapshot && (!self.is_known || is_of_other_store) {
             // The first that is known, or of another store, whose revisions mean something else.
-            let fresh = Self::default().most_told(self.most_told);
-            *self = Self { hops: news.hops, back_at: self.back_at, heard_until: self.heard_until, ..fresh };
+            let fresh = Self::default().snapshot_limit(self.snapshot_limit);
+            *self = Self { hops: news.hops, grace_start: self.grace_start, confirmed_until: self.confirmed_until, ..fresh };
             self.is_known = true;
             self.kept_from = news.revision;
             self.objects = news.changes.iter().filter_map(known_object).collect();
-        } else if news.is_whole {
+        } else if news.is_snapshot {
             // Only what differs is told on: a leader that reads everything again must not make its followers do so.
             for change in self.differences(news) {
-                self.apply(news.revision, change);
+                self.apply_change(news.revision, change);
             }
         } else {
             for change in &news.changes {
-                self.apply(news.revision, change.clone());
+                self.apply_change(news.revision, change.clone());
             }
         }
-        if news.is_whole && news.revision > self.revision {
+        if news.is_snapshot && news.revision > self.revision {
             self.gaps.push_back((self.revision, news.revision));
         }
         self.revision = self.revision.max(news.revision);
@@ -172,7 +172,7 @@
         revision >= self.kept_from && !self.gaps.iter().any(is_unseen)
     }
 
-    fn apply(&mut self, revision: StoreRevision, change: FeedChange<T>) {
+    fn apply_change(&mut self, revision: StoreRevision, change: FeedChange<T>) {
         match &change.object {
             Some(object) => self.objects.insert(Name::clone(&change.name), object.clone()),
             None => self.objects.remove(&change.name),
@@ -181,7 +181,7 @@
     }
 
     /// What a list of everything changes.
-    fn differences(&self, whole: &FeedNews<T>) -> Vec<FeedChange<T>> {
+    fn differences(&self, whole: &FeedUpdate<T>) -> Vec<FeedChange<T>> {
         let listed: BTreeMap<&Name, &FeedChange<T>> =
             whole.changes.iter().map(|change| (&change.name, change)).collect();
         let gone = self.objects.keys().filter(|name| !listed.contains_key(name));
@@ -194,7 +194,7 @@
     ///
     /// None if this host may not tell, because too many others told it on, or if everything is too much, or if who asks knows a
     /// newer era of the store.
-    pub fn after(&self, revision: Option<StoreRevision>) -> Option<FeedNews<T>> {
+    pub fn update_after(&self, revision: Option<StoreRevision>) -> Option<FeedUpdate<T>> {
         if !self.is_known || self.hops > MOST_HOPS {
             return None;
         }
@@ -202,7 +202,7 @@
             return None;
         }
         let known = revision.filter(|revision| self.is_known_from(*revision));
-        if known.is_none() && self.objects.len() > self.most_told {
+        if known.is_none() && self.objects.len() > self.snapshot_limit {
             return None;
         }
         let changes = match known {
@@ -212,12 +212,12 @@
             }
             None => self.objects.iter().map(whole_change).collect(),
         };
-        Some(FeedNews {
-            is_whole: known.is_none(),
+        Some(FeedUpdate {
+            is_snapshot: known.is_none(),
             changes,
             revision: self.revision,
-            heard_until: self.heard_until,
-            back_at: self.back_at,
+            confirmed_until: self.confirmed_until,
+            grace_start: self.grace_start,
             hops: self.hops,
         })
     }
--- a/crates/hollyhook_core/src/feed/feed_timing.rs
+++ b/crates/hollyhook_core/src/feed/feed_timing.rs
@@ -58,7 +58,7 @@
     }
 
     /// How long such a host gathers changes.
-    pub fn leader_gather(&self) -> Duration {
+    pub fn leader_batch_delay(&self) -> Duration {
         LEADER_GATHER
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// How long another host's answer may take that waits so long for changes.
-    pub fn peer_limit(&self, wait: Duration) -> Duration {
+    pub fn peer_timeout(&self, wait: Duration) -> Duration {
         wait + PEER_SLACK
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// How long an answer with all objects may take.
-    pub fn list_limit(&self) -> Duration {
+    pub fn list_timeout(&self) -> Duration {
         LIST_WAIT + LIST_TRANSFER
     }
 
@@ -100,6 +100,6 @@
 const MOST_HELP_AGE: Duration = Duration::from_millis(3_500);
 
 /// Whether what a host knows is too old to help one that the store does not answer.
-pub fn is_stale_help(age: Duration) -> bool {
+pub fn is_helper_stale(age: Duration) -> bool {
     age > MOST_HELP_AGE
 }
--- a/crates/hollyhook_core/src/feed/feed_roster.rs
+++ b/crates/hollyhook_core/src/feed/feed_topology.rs
@@ -28,16 +28,16 @@
 
 /// Why a host is passed over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PassReason {
+pub enum SkipReason {
     /// It gave no answer that can be used.
-    Lost,
+    Failed,
     /// It says that it knows nothing new, or may not tell.
-    Outdated,
+    Stale,
 }
 
 /// A host that may be asked.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RosterMember {
+pub struct HostRecord {
     /// Its name.
     pub host: Name,
     /// Its availability zone.
@@ -48,7 +48,7 @@
     pub link_mbps: u32,
 }
 
-impl RosterMember {
+impl HostRecord {
     /// How near it is to being asked by a host, among all that could be; the least is asked first.
     ///
     /// Weighted rendezvous hashing: of all hosts, each is asked by a part that is as large as its link.
@@ -64,16 +64,16 @@
     /// From the store, and it tells others.
     Lead,
     /// From one of these, best first, and from the store if none answers; and it tells others.
-    Relay(Vec<RosterMember>),
+    Relay(Vec<HostRecord>),
     /// From one of these, best first, and from the store if none answers.
-    Follow(Vec<RosterMember>),
+    Follow(Vec<HostRecord>),
     /// From the store, for itself.
     Alone,
 }
 
 impl FeedPlan {
     /// The hosts to learn from before the store is asked.
-    pub fn sources(&self) -> &[RosterMember] {
+    pub fn sources(&self) -> &[HostRecord] {
         match self {
             Self::Relay(sources) | Self::Follow(sources) => sources,
             Self::Lead | Self::Alone => &[],
@@ -90,12 +90,12 @@
 /// The order is the same on every host that knows the same members (rendezvous by their names), so nobody is elected: a host
 /// whose view differs reads the store although it need not, or asks one that refuses and goes on to the next.
 #[derive(Debug)]
-pub struct FeedRoster {
+pub struct FeedTopology {
     host: Name,
     zone: ZoneName,
-    members: Vec<RosterMember>,
+    members: Vec<HostRecord>,
     /// The hosts of other zones.
-    others: Vec<RosterMember>,
+    others: Vec<HostRecord>,
     passed_over: BTreeMap<Name, PassedOver>,
     /// Until when hosts are not asked for help that knew nothing newer than this one.
     unhelpful: BTreeMap<Name, TimePoint>,
@@ -105,10 +105,10 @@
 #[derive(Debug, Clone, Copy)]
 struct PassedOver {
     until: TimePoint,
-    reason: PassReason,
+    reason: SkipReason,
 }
 
-impl FeedRoster {
+impl FeedTopology {
     /// A roster for a host that knows no other yet.
     pub fn new(host: Name, zone: ZoneName) -> Self {
         Self {
@@ -122,9 +122,9 @@
     }
 
     /// Takes in all hosts that are registered.
-    pub fn list(&mut self, members: Vec<RosterMember>) {
+    pub fn set_hosts(&mut self, members: Vec<HostRecord>) {
         let (mut own, mut others): (Vec<_>, Vec<_>) = members.into_iter().partition(|member| member.zone == self.zone);
-        let rank = |member: &RosterMember| (member.link_mbps, weight(self.zone.as_bytes(), &member.host));
+        let rank = |member: &HostRecord| (member.link_mbps, weight(self.zone.as_bytes(), &member.host));
         own.sort_by_cached_key(|member| Reverse(rank(member)));
         others.sort_by_cached_key(|member| Reverse(weight(self.host.as_bytes(), &member.host)));
         self.members = own;
@@ -141,9 +141,9 @@
     ///
     /// Answers a store that turns some hosts away and serves the others: those would have to refuse their callers as soon
     /// as they can't be certain of keys any more.
-    pub fn helpers(&self, now: TimePoint) -> Vec<RosterMember> {
-        let is_helpful = |member: &RosterMember| self.unhelpful.get(&member.host).is_none_or(|until| now >= *until);
-        let is_usable = |member: &&RosterMember| {
+    pub fn helpers(&self, now: TimePoint) -> Vec<HostRecord> {
+        let is_helpful = |member: &HostRecord| self.unhelpful.get(&member.host).is_none_or(|until| now >= *until);
+        let is_usable = |member: &&HostRecord| {
             member.host != self.host && !self.is_passed_over(now, &member.host) && is_helpful(member)
         };
         let near = self.members.iter().filter(is_usable).take(HELPERS_EACH);
@@ -156,15 +156,15 @@
     }
 
     /// Notes that a host to learn from was of no use.
-    pub fn pass_over(&mut self, now: TimePoint, host: &Name, reason: PassReason) {
+    pub fn skip_source(&mut self, now: TimePoint, host: &Name, reason: SkipReason) {
         self.passed_over.insert(Name::clone(host), PassedOver { until: now + PASSED_OVER, reason });
     }
 
     /// Notes that a host was of no use that was asked for help.
-    pub fn pass_over_helper(&mut self, now: TimePoint, host: &Name, reason: PassReason) {
+    pub fn skip_helper(&mut self, now: TimePoint, host: &Name, reason: SkipReason) {
         match reason {
-            PassReason::Lost => self.pass_over(now, host, reason),
-            PassReason::Outdated => {
+            SkipReason::Failed => self.skip_source(now, host, reason),
+            SkipReason::Stale => {
                 self.unhelpful.insert(Name::clone(host), now + PASSED_OVER);
             }
         }
@@ -174,8 +174,8 @@
     ///
     /// Otherwise, in an outage, each host would soon pass all others over and take itself for a leader, and go on to read for
     /// itself for as long after it.
-    pub fn forgive(&mut self) {
-        let outdated = self.passed_over.extract_if(.., |_, passed| passed.reason == PassReason::Outdated);
+    pub fn restore_stale_sources(&mut self) {
+        let outdated = self.passed_over.extract_if(.., |_, passed| passed.reason == SkipReason::Stale);
         self.unhelpful.extend(outdated.map(|(host, passed)| (host, passed.until)));
     }
 
@@ -186,7 +186,7 @@
             return FeedPlan::Alone;
         }
         let usable = self.members.iter().filter(|member| !self.is_passed_over(now, &member.host));
-        let usable: Vec<&RosterMember> = usable.collect();
+        let usable: Vec<&HostRecord> = usable.collect();
         let (leaders, others) = usable.split_at(LEADERS.min(usable.len()));
         let (relays, _) = others.split_at(self.relay_count().min(others.len()));
         let (reader, standby) = leaders.split_at(1.min(leaders.len()));
@@ -213,13 +213,13 @@
         if told <= TOLD_BY_LEADERS { 0 } else { told.div_ceil(HOSTS_EACH) }
     }
 
-    fn is_among(&self, members: &[&RosterMember]) -> bool {
+    fn is_among(&self, members: &[&HostRecord]) -> bool {
         members.iter().any(|member| member.host == self.host)
     }
 
     /// Whom this host asks of those; all hosts together part between them as their links are.
-    fn sources_of(&self, members: &[&RosterMember]) -> Vec<RosterMember> {
-        let mut sources: Vec<RosterMember> = members.iter().copied().cloned().collect();
+    fn sources_of(&self, members: &[&HostRecord]) -> Vec<HostRecord> {
+        let mut sources: Vec<HostRecord> = members.iter().copied().cloned().collect();
         sources.sort_by(|a, b| a.distance(&self.host).total_cmp(&b.distance(&self.host)));
         sources.truncate(MOST_ASKED);
         sources
--- a/crates/hollyhook_core/src/feed/store_contact.rs
+++ b/crates/hollyhook_core/src/feed/store_contact.rs
@@ -62,7 +62,7 @@
     }
 
     /// Notes an answer of a host that reads the store for others: what this one knows is as new as if the store had answered.
-    pub fn heard(&mut self, now: TimePoint) {
+    pub fn note_peer_answer(&mut self, now: TimePoint) {
         self.heard_at = now;
         self.lost_at = None;
         self.failures = 0;
@@ -71,7 +71,7 @@
     /// Notes that a call got no answer, or one that says that nothing was done.
     ///
     /// The first in a row went over a connection that may have been dead since the last answer; later ones make their own.
-    pub fn failed(&mut self, began: TimePoint) {
+    pub fn note_failure(&mut self, began: TimePoint) {
         self.lost_at = Some(if self.is_away() { began } else { began.min(self.heard_at) });
         self.failed_at = began;
         self.failures += 1;
@@ -81,9 +81,9 @@
     ///
     /// That is now, unless the last call without an answer began so long ago that the host would be in contact before
     /// their time is over.
-    pub fn answered(&mut self, now: TimePoint, contact: Duration) -> Option<TimePoint> {
+    pub fn note_answer(&mut self, now: TimePoint, contact: Duration) -> Option<TimePoint> {
         let lost_at = self.lost_at;
-        self.heard(now);
+        self.note_peer_answer(now);
         let latest = lost_at? + contact - (EndpointMembership::RETURN_GRACE + SEND_MARGIN);
         Some(now.min(latest))
     }
@@ -92,9 +92,9 @@
     /// there has its time to come back.
     ///
     /// No call may have failed meanwhile: the store was away for a moment after the last answer.
-    pub fn came_back(&mut self, now: TimePoint, contact: Duration) -> TimePoint {
+    pub fn note_restore(&mut self, now: TimePoint, contact: Duration) -> TimePoint {
         self.lost_at = self.lost_at.or(Some(self.heard_at));
-        self.answered(now, contact).unwrap_or(now)
+        self.note_answer(now, contact).unwrap_or(now)
     }
 
     /// How long the next watch waits: `usual`, or less where its silence would be noticed too late, or while the store is
@@ -111,17 +111,17 @@
     }
 
     /// How long a watch with that wait may take.
-    pub fn watch_limit(&self, wait: Duration) -> Duration {
-        if self.is_away() { wait + self.call_limit() } else { wait + WATCH_SLACK }
+    pub fn watch_timeout(&self, wait: Duration) -> Duration {
+        if self.is_away() { wait + self.call_timeout() } else { wait + WATCH_SLACK }
     }
 
     /// How long the next other call may take.
-    pub fn call_limit(&self) -> Duration {
+    pub fn call_timeout(&self) -> Duration {
         CALL_LIMITS[self.failures % CALL_LIMITS.len()]
     }
 
     /// The pause until the next call, after one that got no answer.
-    pub fn pause(&self, now: TimePoint) -> Duration {
+    pub fn retry_delay(&self, now: TimePoint) -> Duration {
         (self.failed_at + RETRY_INTERVAL).since(now)
     }
 
@@ -129,7 +129,7 @@
     ///
     /// Answers an outage before hundreds of hosts, each of which would ask four times a second for each kind of object, as the
     /// store tries to come back.
-    pub fn pause_of_told(&self, now: TimePoint, contact: Duration) -> Duration {
+    pub fn follower_retry_delay(&self, now: TimePoint, contact: Duration) -> Duration {
         (self.failed_at + contact.mul_f64(TOLD_INTERVAL)).since(now)
     }
 }
--- a/crates/hollyhook_core/src/forward/answer_verdict.rs
+++ b/crates/hollyhook_core/src/forward/answer_verdict.rs
@@ -1,4 +1,4 @@
-use crate::{EndpointId, LoadReport, Name, RequestKind, StatedTerms};
+use crate::{EndpointId, LoadReport, Name, RequestKind, AdvertisedTerms};
 
 /// What hollyhook reads of an endpoint's answer head.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -20,7 +20,7 @@
     /// The load that the endpoint reports.
     pub load: Option<LoadReport>,
     /// The terms on which the endpoint takes requests.
-    pub terms: StatedTerms,
+    pub terms: AdvertisedTerms,
 }
 
 impl AnswerHead {
--- a/crates/hollyhook_core/src/forward/attempt_ledger.rs
+++ b/crates/hollyhook_core/src/forward/attempt_ledger.rs
@@ -7,19 +7,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum StopReason {
     /// It may have run and may not be repeated.
-    MayNotRepeat,
+    NotRepeatable,
     /// It may have run at as many endpoints as its route allows.
-    MostRuns,
+    RunLimit,
     /// Every endpoint that was asked turned it away.
-    MostTurnedAway,
+    RejectionLimit,
     /// The caller's or the route's time is up.
-    TimeUp,
+    DeadlineExceeded,
     /// The retry budget of the service is spent.
-    BudgetSpent,
+    BudgetExhausted,
     /// No endpoint is left.
     NoEndpoint,
     /// Every endpoint that is left takes no more requests for now, by its own word.
-    HeldBack,
+    Throttled,
     /// Every endpoint that was asked would serve it too late.
     Overloaded,
     /// It ends the endpoints that run it.
@@ -30,13 +30,13 @@
     /// What a person should know.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::MayNotRepeat => "the request was sent, may not be repeated, and what became of it is not known",
-            Self::MostRuns => "the request was sent to as many endpoints as its route allows",
-            Self::MostTurnedAway => "every endpoint that was asked turned the request away",
-            Self::TimeUp => "the caller's time is up",
-            Self::BudgetSpent => "the retry budget of the service is spent",
+            Self::NotRepeatable => "the request was sent, may not be repeated, and what became of it is not known",
+            Self::RunLimit => "the request was sent to as many endpoints as its route allows",
+            Self::RejectionLimit => "every endpoint that was asked turned the request away",
+            Self::DeadlineExceeded => "the caller's time is up",
+            Self::BudgetExhausted => "the retry budget of the service is spent",
             Self::NoEndpoint => "no endpoint of the service is left",
-            Self::HeldBack => "the endpoints of the service take no more requests for now",
+            Self::Throttled => "the endpoints of the service take no more requests for now",
             Self::Quarantined => "endpoints that began to run the same request ended",
             Self::Overloaded => "the endpoints have more before this request than its caller's time allows",
         }
@@ -82,7 +82,7 @@
     ///
     /// One that met another incarnation does not count as turned away: it tells nothing of the service's load, and the
     /// endpoint is not chosen again. After an outage of the platform most of what a host knows may be of that kind.
-    pub fn note(&mut self, failure: AttemptFailure) {
+    pub fn record_failure(&mut self, failure: AttemptFailure) {
         match failure {
             AttemptFailure::WrongIncarnation => self.misdirected += 1,
             failure if failure.is_not_run() => self.turned_away += 1,
@@ -103,22 +103,22 @@
     /// Why no further attempt may be made, if none may; the retry budget is asked besides.
     pub fn stop_reason(&self, time_left: Duration) -> Option<StopReason> {
         if self.runs > 0 && !self.kind.is_repeatable() {
-            Some(StopReason::MayNotRepeat)
+            Some(StopReason::NotRepeatable)
         } else if self.runs >= self.most_runs {
-            Some(StopReason::MostRuns)
+            Some(StopReason::RunLimit)
         } else if self.turned_away >= self.most_turned_away {
-            Some(StopReason::MostTurnedAway)
+            Some(StopReason::RejectionLimit)
         } else if time_left.is_zero() {
-            Some(StopReason::TimeUp)
+            Some(StopReason::DeadlineExceeded)
         } else {
             None
         }
     }
 
     /// What the caller is told at the end; "not run" only if no attempt may have run, with when to come back.
-    pub fn end(&self, reason: StopReason, delivered: u64, retry_after: Duration) -> Error {
+    pub fn final_error(&self, reason: StopReason, delivered: u64, retry_after: Duration) -> Error {
         let kind = match (self.runs, self.turned_away + self.misdirected, delivered) {
-            (0, _, _) if matches!(reason, StopReason::Overloaded | StopReason::HeldBack) => ErrorKind::Overloaded,
+            (0, _, _) if matches!(reason, StopReason::Overloaded | StopReason::Throttled) => ErrorKind::Overloaded,
             (0, _, _) if reason == StopReason::Quarantined => ErrorKind::Quarantined,
             (0, 0, _) => ErrorKind::NoEndpoint,
             (0, _, _) => ErrorKind::NotRun,
--- a/crates/hollyhook_core/src/forward/caller_head.rs
+++ b/crates/hollyhook_core/src/forward/caller_head.rs
@@ -26,7 +26,7 @@
     /// The id of this client attempt.
     pub attempt_id: Name,
     /// How long the caller will wait from when it sent the request; none if it does not say.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The API key.
     pub key: Option<Name>,
     /// The number of the last event that the caller has.
--- a/crates/hollyhook_core/src/route/endpoint_choice.rs
+++ b/crates/hollyhook_core/src/route/endpoint_choice.rs
@@ -114,7 +114,7 @@
         if fit().any(|record| self.terms.is_open(now, &record.id)) {
             return None;
         }
-        fit().map(|record| self.terms.paused_for(now, &record.id)).min()
+        fit().map(|record| self.terms.pause_left(now, &record.id)).min()
     }
 
     /// Of each zone the endpoints that follow a number on its ring and take the request now, a window of them, and those that
--- a/crates/hollyhook_core/src/route/endpoint_membership.rs
+++ b/crates/hollyhook_core/src/route/endpoint_membership.rs
@@ -21,7 +21,7 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct EndpointMembership {
-    back_at: Option<TimePoint>,
+    grace_start: Option<TimePoint>,
     /// Missing entries and when they are taken as gone.
     missing: BTreeMap<EndpointId, TimePoint>,
     /// When entries went, of those that went lately.
@@ -73,16 +73,16 @@
 
     /// Notes that the platform answers again after it did not; what is missing has its grace time from `at` on.
     pub fn platform_back(&mut self, at: TimePoint) {
-        self.back_at = Some(at);
+        self.grace_start = Some(at);
     }
 
     /// Whether an endpoint whose entry is missing is to be forgotten now; if not, [`lapsed`](Self::lapsed) tells when.
     pub fn is_gone(&mut self, now: TimePoint, id: &EndpointId) -> bool {
-        let Some(back_at) = self.back_at.filter(|at| now.since(*at) < Self::RETURN_GRACE) else {
+        let Some(grace_start) = self.grace_start.filter(|at| now.since(*at) < Self::RETURN_GRACE) else {
             self.note_gone(now, id);
             return true;
         };
-        self.missing.entry(EndpointId::clone(id)).or_insert(back_at + Self::RETURN_GRACE);
+        self.missing.entry(EndpointId::clone(id)).or_insert(grace_start + Self::RETURN_GRACE);
         false
     }
 
--- a/crates/hollyhook_core/src/route/endpoint_table.rs
+++ b/crates/hollyhook_core/src/route/endpoint_table.rs
@@ -6,7 +6,7 @@
 use super::ring_index::RingIndex;
 use super::zone_trouble::ZoneTrouble;
 use super::{EndpointRecord, EndpointState, LoadReport};
-use crate::{EndpointId, Name, TermsLedger, TimePoint, ZoneName};
+use crate::{EndpointId, Name, TermsTable, TimePoint, ZoneName};
 
 /// By this name hosts choose the entry for their notes.
 const NOTES: &[u8] = b"notes";
@@ -24,7 +24,7 @@
     pub(super) rings: RingIndex,
     names: NameSet,
     pub(super) troubles: BTreeMap<ZoneName, ZoneTrouble>,
-    pub(super) terms: TermsLedger,
+    pub(super) terms: TermsTable,
 }
 
 impl EndpointTable {
@@ -38,7 +38,7 @@
             rings: RingIndex::default(),
             names: NameSet::default(),
             troubles: BTreeMap::new(),
-            terms: TermsLedger::default(),
+            terms: TermsTable::default(),
         }
     }
 
@@ -83,7 +83,7 @@
 
     /// Takes in that an endpoint says itself that it leaves; tells whether it got work until then.
     pub fn leave(&mut self, now: TimePoint, id: &EndpointId) -> bool {
-        self.terms.leave(now, id);
+        self.terms.mark_leaving(now, id);
         let Some(record) = self.records.get_mut(id).filter(|record| record.state == EndpointState::Live) else {
             return false;
         };
@@ -151,7 +151,7 @@
     }
 
     /// The terms on which endpoints take requests, to learn something of them.
-    pub fn terms_mut(&mut self) -> &mut TermsLedger {
+    pub fn terms_mut(&mut self) -> &mut TermsTable {
         &mut self.terms
     }
 
--- a/crates/hollyhook_core/src/stop/stop_plan.rs
+++ b/crates/hollyhook_core/src/stop/stop_plan.rs
@@ -60,15 +60,15 @@
     ///
     /// While callers are expected, a stream is taken if one of the usual length would end, and each call, which takes a
     /// fraction of a second. After that a call is taken only if its caller gives up within the grace time.
-    pub fn is_taking(self, kind: RequestKind, patience: Duration, passed: Duration) -> bool {
+    pub fn is_admitted(self, kind: RequestKind, patience: Duration, passed: Duration) -> bool {
         if kind.is_stream() {
             return passed < STREAM_INTAKE;
         }
-        passed < self.caller_intake() || passed + patience <= self.usable_grace()
+        passed < self.accept_period() || passed + patience <= self.usable_grace()
     }
 
     /// How long after the order callers may still come.
-    pub fn caller_intake(self) -> Duration {
+    pub fn accept_period(self) -> Duration {
         CALLER_INTAKE.min(self.usable_grace())
     }
 
--- a/crates/hollyhook_core/src/terms/stated_terms.rs
+++ b/crates/hollyhook_core/src/terms/advertised_terms.rs
@@ -2,7 +2,7 @@
 
 /// What one answer of an endpoint says of the terms on which it takes requests.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct StatedTerms {
+pub struct AdvertisedTerms {
     /// Requests a second that it takes from all hosts together; none if it does not limit them.
     pub rate_limit: Option<f64>,
     /// Whether it leaves.
--- a/crates/hollyhook_core/src/terms/mod.rs
+++ b/crates/hollyhook_core/src/terms/mod.rs
@@ -1,9 +1,9 @@
 //! What endpoints say of themselves in their answers, on which terms they take requests.
 
 mod rate_share;
-mod stated_terms;
-mod terms_ledger;
+mod advertised_terms;
+mod terms_table;
 
 pub use rate_share::RateShare;
-pub use stated_terms::StatedTerms;
-pub use terms_ledger::TermsLedger;
+pub use advertised_terms::AdvertisedTerms;
+pub use terms_table::TermsTable;
--- a/crates/hollyhook_core/src/terms/terms_ledger.rs
+++ b/crates/hollyhook_core/src/terms/terms_table.rs
@@ -13,7 +13,7 @@
 ///
 /// Kept apart from what the platform lists, which may be older than what an endpoint says, and may come and go.
 #[derive(Debug, Default)]
-pub struct TermsLedger {
+pub struct TermsTable {
     terms: BTreeMap<EndpointId, EndpointTerms>,
 }
 
@@ -32,9 +32,9 @@
     }
 }
 
-impl TermsLedger {
+impl TermsTable {
     /// Takes in the rate limit, in requests a second, that an endpoint names for the `hosts` together; tells whether that is news.
-    pub fn limit(&mut self, now: TimePoint, id: &EndpointId, rate: f64, hosts: usize, rng: &mut impl Rng) -> bool {
+    pub fn set_rate_limit(&mut self, now: TimePoint, id: &EndpointId, rate: f64, hosts: usize, rng: &mut impl Rng) -> bool {
         let terms = self.heard(now, id);
         if let Some(share) = &mut terms.share {
             let is_news = share.rate().total_cmp(&rate).is_ne();
@@ -48,13 +48,13 @@
     /// Takes in that the answer to a request sent at `sent_at` names no limit; tells whether that ends one.
     ///
     /// A limit that was heard later than that stays: answers on different connections overtake each other.
-    pub fn unlimit(&mut self, id: &EndpointId, sent_at: TimePoint) -> bool {
+    pub fn clear_rate_limit(&mut self, id: &EndpointId, sent_at: TimePoint) -> bool {
         let terms = self.terms.get_mut(id).filter(|terms| terms.heard_at < sent_at);
         terms.is_some_and(|terms| terms.share.take().is_some())
     }
 
     /// Takes in that an endpoint says that it leaves.
-    pub fn leave(&mut self, now: TimePoint, id: &EndpointId) {
+    pub fn mark_leaving(&mut self, now: TimePoint, id: &EndpointId) {
         self.heard(now, id).is_leaving = true;
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Takes in that an endpoint wants no more requests of this host for so long; tells whether that is news.
-    pub fn pause(&mut self, now: TimePoint, id: &EndpointId, span: Duration) -> bool {
+    pub fn extend_pause(&mut self, now: TimePoint, id: &EndpointId, span: Duration) -> bool {
         let terms = self.heard(now, id);
         let is_news = terms.paused_until <= now;
         terms.paused_until = terms.paused_until.max(now + span);
@@ -72,7 +72,7 @@
     }
 
     /// How long an endpoint still wants no more requests of this host.
-    pub fn paused_for(&self, now: TimePoint, id: &str) -> Duration {
+    pub fn pause_left(&self, now: TimePoint, id: &str) -> Duration {
         self.terms.get(id).map_or(Duration::ZERO, |terms| terms.paused_until.since(now))
     }
 
--- a/crates/hollyhook_core/tests/fuzz/store_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/store_fuzz.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::panic::catch_unwind;
 
-use hollyhook_core::{EraLedger, EraVerdict, FeedChange, FeedLog, FeedNews, Name, StoreRevision, TimePoint};
+use hollyhook_core::{EraTracker, EraVerdict, FeedChange, FeedLog, FeedUpdate, Name, StoreRevision, TimePoint};
 use proptest::prelude::*;
 
 use crate::harness::{Tally, fuzz};
@@ -63,7 +63,7 @@
     }
 
     /// A watch from a revision, or a list; none for a history that is gone.
-    fn answer(&self, after: Option<u64>) -> Option<FeedNews<u32>> {
+    fn answer(&self, after: Option<u64>) -> Option<FeedUpdate<u32>> {
         let changes = match after {
             Some(after) if after > self.revision || after < self.oldest => return None,
             Some(after) => {
@@ -75,15 +75,15 @@
             }
         };
         let revision = StoreRevision::new(self.era, self.revision);
-        let heard_until = TimePoint::ZERO;
-        Some(FeedNews { is_whole: after.is_none(), changes, revision, heard_until, back_at: None, hops: 0 })
+        let confirmed_until = TimePoint::ZERO;
+        Some(FeedUpdate { is_snapshot: after.is_none(), changes, revision, confirmed_until, grace_start: None, hops: 0 })
     }
 }
 
 #[derive(Default)]
 struct Host {
     log: FeedLog<u32>,
-    eras: EraLedger,
+    eras: EraTracker,
     revision: Option<StoreRevision>,
     /// What it believes.
     view: BTreeMap<Name, u32>,
@@ -95,7 +95,7 @@
     is_of_store: bool,
     asked_from: Option<StoreRevision>,
     /// None if there is nothing to tell.
-    news: Option<FeedNews<u32>>,
+    news: Option<FeedUpdate<u32>>,
 }
 
 struct World {
@@ -128,7 +128,7 @@
             Step::ForgetHistory => self.store.oldest = self.store.revision,
             Step::Ask(host, source) => self.ask(*host, *source),
             Step::Arrive(host, is_lost) => self.arrive(*host, *is_lost, tally),
-            Step::HearEra(host) => _ = self.hosts[*host].eras.judge(Some(self.store.era)),
+            Step::HearEra(host) => _ = self.hosts[*host].eras.observe(Some(self.store.era)),
         }
     }
 
@@ -145,7 +145,7 @@
             self.store.answer(asked_from.filter(is_same_era).map(|from| from.number))
         } else {
             let teller = if host == LEADERS { source % LEADERS } else { source % (LEADERS + 1) };
-            self.hosts[teller].log.after(asked_from)
+            self.hosts[teller].log.update_after(asked_from)
         };
         self.hosts[host].coming = Some(Answer { is_of_store, asked_from, news });
     }
@@ -165,12 +165,12 @@
             return;
         };
         let before = host.eras.era();
-        if host.eras.judge(Some(news.revision.era)) == EraVerdict::Older && defect != Defect::HearsayOfOldEra {
+        if host.eras.observe(Some(news.revision.era)) == EraVerdict::Older && defect != Defect::HearsayOfOldEra {
             tally.count("older_refused");
             return;
         }
         let is_across = answer.asked_from.is_some_and(|from| from.era != news.revision.era);
-        if answer.is_of_store && !news.is_whole && is_across && defect != Defect::WatchAcrossEras {
+        if answer.is_of_store && !news.is_snapshot && is_across && defect != Defect::WatchAcrossEras {
             tally.count("watch_across_eras");
             host.revision = None;
             return;
@@ -202,8 +202,8 @@
 }
 
 impl Host {
-    fn take(&mut self, news: &FeedNews<u32>) {
-        if news.is_whole {
+    fn take(&mut self, news: &FeedUpdate<u32>) {
+        if news.is_snapshot {
             self.view.clear();
         }
         for change in &news.changes {
@@ -213,7 +213,7 @@
             };
         }
         self.revision = self.revision.max(Some(news.revision));
-        self.log.take(news);
+        self.log.apply(news);
     }
 }
 
--- a/crates/hollyhook_core/tests/gateway/attempts.rs
+++ b/crates/hollyhook_core/tests/gateway/attempts.rs
@@ -25,14 +25,14 @@
 #[test]
 fn stops_in_time() {
     let ledger = AttemptLedger::new(RequestKind::Idempotent, 2, 3);
-    assert_eq!(ledger.stop_reason(Duration::ZERO), Some(StopReason::TimeUp));
+    assert_eq!(ledger.stop_reason(Duration::ZERO), Some(StopReason::DeadlineExceeded));
     assert_eq!(ledger.stop_reason(SECOND), None);
 }
 
 #[test]
 fn end_without_attempt() {
     let ledger = AttemptLedger::new(RequestKind::Idempotent, 2, 3);
-    let error = ledger.end(StopReason::NoEndpoint, 0, SECOND);
+    let error = ledger.final_error(StopReason::NoEndpoint, 0, SECOND);
     assert_eq!((error.kind(), error.get_retry_after()), (ErrorKind::NoEndpoint, Some(SECOND)));
 }
 
@@ -41,10 +41,10 @@
 fn note_wrong_incarnations() {
     let mut ledger = AttemptLedger::new(RequestKind::NonIdempotent, 1, 3);
     for _ in 0..20 {
-        ledger.note(AttemptFailure::WrongIncarnation);
+        ledger.record_failure(AttemptFailure::WrongIncarnation);
     }
     assert_eq!((ledger.stop_reason(SECOND), ledger.attempts()), (None, 20));
-    assert_eq!(ledger.end(StopReason::NoEndpoint, 0, SECOND).get_run(), RunState::NotRun);
+    assert_eq!(ledger.final_error(StopReason::NoEndpoint, 0, SECOND).get_run(), RunState::NotRun);
 }
 
 /// The budget counts what arrives at endpoints beyond the first.
@@ -68,13 +68,13 @@
             if ledger.stop_reason(SECOND).is_some() {
                 break;
             }
-            ledger.note(failure);
+            ledger.record_failure(failure);
             may_have_run += u32::from(!failure.is_not_run());
         }
         let most = if kind.is_repeatable() { most_runs } else { 1 };
         prop_assert!(may_have_run <= most);
         for delivered in [0, 5] {
-            let error = ledger.end(StopReason::NoEndpoint, delivered, SECOND);
+            let error = ledger.final_error(StopReason::NoEndpoint, delivered, SECOND);
             prop_assert_eq!(error.get_run() == RunState::NotRun, may_have_run == 0);
             prop_assert_eq!(error.get_retry_after().is_some(), may_have_run == 0);
             let promises = [408, 421, 429, 503].contains(&error.answer().status);
--- a/crates/hollyhook_core/tests/gateway/feeding.rs
+++ b/crates/hollyhook_core/tests/gateway/feeding.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use hollyhook_core::{
-    FeedChange, FeedLog, FeedNews, FeedPlan, FeedRoster, FeedTiming, Name, PassReason, RosterMember, StoreContact,
-    StoreRevision, TimePoint, most_told,
+    FeedChange, FeedLog, FeedUpdate, FeedPlan, FeedTopology, FeedTiming, Name, SkipReason, HostRecord, StoreContact,
+    StoreRevision, TimePoint, snapshot_limit,
 };
 
 const NOW: TimePoint = TimePoint::from_millis(10_000);
@@ -27,13 +27,13 @@
     StoreRevision::new(1, number)
 }
 
-fn news(is_whole: bool, revision: u64, changes: &[FeedChange<u32>]) -> FeedNews<u32> {
-    FeedNews {
-        is_whole,
+fn news(is_snapshot: bool, revision: u64, changes: &[FeedChange<u32>]) -> FeedUpdate<u32> {
+    FeedUpdate {
+        is_snapshot,
         changes: changes.to_vec(),
         revision: StoreRevision::new(1, revision),
-        heard_until: NOW,
-        back_at: None,
+        confirmed_until: NOW,
+        grace_start: None,
         hops: 0,
     }
 }
@@ -41,46 +41,46 @@
 /// A log that has everything at revision 10 and one change at 12.
 fn log() -> FeedLog<u32> {
     let mut log = FeedLog::default();
-    log.take(&news(true, 10, &[set("a", 1), set("b", 1)]));
-    log.take(&news(false, 12, &[set("a", 2), gone("b")]));
+    log.apply(&news(true, 10, &[set("a", 1), set("b", 1)]));
+    log.apply(&news(false, 12, &[set("a", 2), gone("b")]));
     log
 }
 
 #[test]
 fn after_known_revision() {
     let log = log();
-    assert_eq!(log.after(Some(at(10))), Some(news(false, 12, &[set("a", 2), gone("b")])));
-    assert_eq!(log.after(Some(at(12))), Some(news(false, 12, &[])));
+    assert_eq!(log.update_after(Some(at(10))), Some(news(false, 12, &[set("a", 2), gone("b")])));
+    assert_eq!(log.update_after(Some(at(12))), Some(news(false, 12, &[])));
     // Another leader was ahead: nothing is taken back.
-    assert_eq!(log.after(Some(at(15))).unwrap().changes, []);
+    assert_eq!(log.update_after(Some(at(15))).unwrap().changes, []);
 }
 
 #[test]
 fn after_unknown_revision() {
     let log = log();
     let whole = Some(news(true, 12, &[set("a", 2)]));
-    assert_eq!(log.after(None), whole);
-    assert_eq!(log.after(Some(at(9))), whole, "changes from before the list are not known");
+    assert_eq!(log.update_after(None), whole);
+    assert_eq!(log.update_after(Some(at(9))), whole, "changes from before the list are not known");
 }
 
 #[test]
 fn after_forgotten_changes() {
     let mut log = log();
     for number in 0..3_000 {
-        log.take(&news(false, 20 + number, &[set("a", number as u32)]));
+        log.apply(&news(false, 20 + number, &[set("a", number as u32)]));
     }
-    assert!(log.after(Some(at(12))).unwrap().is_whole);
-    assert_eq!(log.after(Some(at(3_018))).unwrap().changes, [set("a", 2_999)]);
+    assert!(log.update_after(Some(at(12))).unwrap().is_snapshot);
+    assert_eq!(log.update_after(Some(at(3_018))).unwrap().changes, [set("a", 2_999)]);
 }
 
 /// A leader that has to list again, because the store dropped its history, tells only what differs.
 #[test]
 fn after_another_list() {
     let mut log = log();
-    log.take(&news(true, 30, &[set("a", 2), set("c", 3)]));
-    assert_eq!(log.after(Some(at(12))), Some(news(false, 30, &[set("c", 3)])));
-    log.take(&news(true, 40, &[set("c", 3)]));
-    assert_eq!(log.after(Some(at(30))), Some(news(false, 40, &[gone("a")])));
+    log.apply(&news(true, 30, &[set("a", 2), set("c", 3)]));
+    assert_eq!(log.update_after(Some(at(12))), Some(news(false, 30, &[set("c", 3)])));
+    log.apply(&news(true, 40, &[set("c", 3)]));
+    assert_eq!(log.update_after(Some(at(30))), Some(news(false, 40, &[gone("a")])));
 }
 
 /// A leader that lists again, because the store dropped its history, has not seen what came and went meanwhile; a follower that
@@ -88,77 +88,77 @@
 #[test]
 fn after_another_list_told_whole_to_who_was_ahead() {
     let mut log = log();
-    log.take(&news(true, 30, &[set("a", 2)]));
-    assert_eq!(log.after(Some(at(20))), Some(news(true, 30, &[set("a", 2)])));
-    assert!(!log.after(Some(at(12))).unwrap().is_whole);
-    assert!(!log.after(Some(at(30))).unwrap().is_whole);
+    log.apply(&news(true, 30, &[set("a", 2)]));
+    assert_eq!(log.update_after(Some(at(20))), Some(news(true, 30, &[set("a", 2)])));
+    assert!(!log.update_after(Some(at(12))).unwrap().is_snapshot);
+    assert!(!log.update_after(Some(at(30))).unwrap().is_snapshot);
 }
 
 /// The revisions of another store mean nothing.
 #[test]
 fn after_another_store() {
     let mut log = log();
-    log.take(&news(true, 5, &[set("z", 1)]));
-    assert_eq!(log.after(Some(at(3))), Some(news(true, 5, &[set("z", 1)])));
-    assert_eq!(log.after(Some(at(5))), Some(news(false, 5, &[])));
+    log.apply(&news(true, 5, &[set("z", 1)]));
+    assert_eq!(log.update_after(Some(at(3))), Some(news(true, 5, &[set("z", 1)])));
+    assert_eq!(log.update_after(Some(at(5))), Some(news(false, 5, &[])));
 }
 
 /// News of the second era.
-fn later(news: FeedNews<u32>) -> FeedNews<u32> {
+fn later(news: FeedUpdate<u32>) -> FeedUpdate<u32> {
     let revision = StoreRevision { era: 2, ..news.revision };
-    FeedNews { revision, ..news }
+    FeedUpdate { revision, ..news }
 }
 
 /// The store came back from an older copy, with lower revisions: those who ask from before are told what differs.
 #[test]
 fn after_newer_era() {
     let mut log = log();
-    log.take(&later(news(true, 5, &[set("a", 1), set("b", 1)])));
+    log.apply(&later(news(true, 5, &[set("a", 1), set("b", 1)])));
     let differences = later(news(false, 5, &[set("a", 1), set("b", 1)]));
-    assert_eq!(log.after(Some(at(12))), Some(differences));
-    assert_eq!(log.after(Some(StoreRevision::new(2, 5))).unwrap().changes, []);
+    assert_eq!(log.update_after(Some(at(12))), Some(differences));
+    assert_eq!(log.update_after(Some(StoreRevision::new(2, 5))).unwrap().changes, []);
 }
 
 /// Who was ahead of the leader when the store went back has what the leader never had, and is told everything.
 #[test]
 fn after_newer_era_told_whole_to_who_was_ahead() {
     let mut log = log();
-    log.take(&later(news(true, 5, &[set("a", 1)])));
-    assert_eq!(log.after(Some(at(13))), Some(later(news(true, 5, &[set("a", 1)]))));
+    log.apply(&later(news(true, 5, &[set("a", 1)])));
+    assert_eq!(log.update_after(Some(at(13))), Some(later(news(true, 5, &[set("a", 1)]))));
     // So is who comes from an era that the leader never heard of.
-    log.take(&FeedNews { revision: StoreRevision::new(4, 6), ..news(true, 6, &[set("a", 1)]) });
-    assert!(log.after(Some(StoreRevision::new(3, 1))).unwrap().is_whole);
-    assert!(!log.after(Some(StoreRevision::new(2, 5))).unwrap().is_whole);
+    log.apply(&FeedUpdate { revision: StoreRevision::new(4, 6), ..news(true, 6, &[set("a", 1)]) });
+    assert!(log.update_after(Some(StoreRevision::new(3, 1))).unwrap().is_snapshot);
+    assert!(!log.update_after(Some(StoreRevision::new(2, 5))).unwrap().is_snapshot);
 }
 
 /// What is still on its way of before replaces nothing.
 #[test]
 fn older_era_replaces_nothing() {
     let mut log = log();
-    log.take(&later(news(true, 5, &[set("a", 7)])));
-    let known = log.after(None);
-    log.take(&news(true, 90, &[set("a", 1)]));
-    log.take(&news(false, 91, &[gone("a")]));
-    assert_eq!(log.after(None), known);
+    log.apply(&later(news(true, 5, &[set("a", 7)])));
+    let known = log.update_after(None);
+    log.apply(&news(true, 90, &[set("a", 1)]));
+    log.apply(&news(false, 91, &[gone("a")]));
+    assert_eq!(log.update_after(None), known);
 }
 
 /// Who has heard that the store came back is told nothing by one who has not.
 #[test]
 fn who_knows_newer_era_not_told() {
-    assert_eq!(log().after(Some(StoreRevision::new(2, 1))), None);
+    assert_eq!(log().update_after(Some(StoreRevision::new(2, 1))), None);
 }
 
 #[test]
 fn after_more_than_can_be_told() {
     let objects: Vec<FeedChange<u32>> = (0..3_000).map(|number| set(&number.to_string(), number)).collect();
     let mut log = FeedLog::default();
-    log.take(&news(true, 10, &objects));
-    assert_eq!(log.after(None), None);
-    assert_eq!(log.after(Some(at(10))), Some(news(false, 10, &[])));
+    log.apply(&news(true, 10, &objects));
+    assert_eq!(log.update_after(None), None);
+    assert_eq!(log.update_after(Some(at(10))), Some(news(false, 10, &[])));
 }
 
-fn told(hops: u32, news: FeedNews<u32>) -> FeedNews<u32> {
-    FeedNews { hops, ..news }
+fn told(hops: u32, news: FeedUpdate<u32>) -> FeedUpdate<u32> {
+    FeedUpdate { hops, ..news }
 }
 
 /// What was heard from another host is told on once: hosts that follow each other in a circle would never notice that the
@@ -167,15 +167,15 @@
 fn after_hearsay() {
     let mut log = log();
     let change = news(false, 13, &[set("c", 1)]);
-    log.take(&told(2, change.clone()));
-    assert_eq!(log.after(Some(at(12))), None);
-    log.take(&told(u32::MAX, news(false, 13, &[])));
-    assert_eq!(log.after(Some(at(12))), None, "who was helped tells nobody");
-    log.take(&told(1, news(false, 13, &[])));
-    assert_eq!(log.after(Some(at(12))), Some(told(1, change.clone())));
-    log.take(&news(false, 13, &[]));
-    assert_eq!(log.after(Some(at(12))), Some(change));
-    assert_eq!(FeedLog::<u32>::default().after(None), None);
+    log.apply(&told(2, change.clone()));
+    assert_eq!(log.update_after(Some(at(12))), None);
+    log.apply(&told(u32::MAX, news(false, 13, &[])));
+    assert_eq!(log.update_after(Some(at(12))), None, "who was helped tells nobody");
+    log.apply(&told(1, news(false, 13, &[])));
+    assert_eq!(log.update_after(Some(at(12))), Some(told(1, change.clone())));
+    log.apply(&news(false, 13, &[]));
+    assert_eq!(log.update_after(Some(at(12))), Some(change));
+    assert_eq!(FeedLog::<u32>::default().update_after(None), None);
 }
 
 /// Hosts that ask only each other, in a circle, never make what they know look newer: it becomes too old for all of them.
@@ -183,11 +183,11 @@
 fn after_a_circle() {
     let mut logs = [log(), log(), log()];
     for turn in 0..9 {
-        if let Some(heard) = logs[turn % 3].after(Some(at(12))) {
-            logs[(turn + 1) % 3].take(&told(heard.hops + 1, heard));
+        if let Some(heard) = logs[turn % 3].update_after(Some(at(12))) {
+            logs[(turn + 1) % 3].apply(&told(heard.hops + 1, heard));
         }
     }
-    assert!(logs.iter().filter_map(|log| log.after(Some(at(12)))).all(|heard| heard.heard_until == NOW));
+    assert!(logs.iter().filter_map(|log| log.update_after(Some(at(12)))).all(|heard| heard.confirmed_until == NOW));
 }
 
 /// The bounds of sites: the smallest for which hosts share what they read, and those of larger ones.
@@ -202,7 +202,7 @@
 #[test]
 fn is_stale_not_while_all_is_well() {
     for (_, timing) in timings() {
-        let known = timing.leader_wait() + timing.leader_gather();
+        let known = timing.leader_wait() + timing.leader_batch_delay();
         for hops in 0..2 {
             assert!(!timing.is_stale(known + timing.peer_wait() * hops, hops));
         }
@@ -212,7 +212,7 @@
 #[test]
 fn is_stale_after_a_missed_watch() {
     for (_, timing) in timings() {
-        let known = timing.leader_wait() + timing.leader_gather() + timing.leader_wait();
+        let known = timing.leader_wait() + timing.leader_batch_delay() + timing.leader_wait();
         assert!(timing.is_stale(known, 0));
         assert!(timing.is_stale(known + timing.peer_wait() * 2, 1));
     }
@@ -230,7 +230,7 @@
 fn most_age_within_bound() {
     let read_and_send = Duration::from_millis(50 + 250);
     for (bound, timing) in timings().skip(1) {
-        let silent = timing.peer_limit(timing.peer_wait());
+        let silent = timing.peer_timeout(timing.peer_wait());
         let known = most_age(timing, 0) + timing.peer_wait() + silent;
         assert!(known + read_and_send <= bound, "{known:?} of {bound:?}");
     }
@@ -248,7 +248,7 @@
 #[test]
 fn known_age_within_key_bound() {
     for (_, timing) in timings() {
-        let known = timing.leader_wait() + timing.leader_gather() + timing.peer_wait() * 2;
+        let known = timing.leader_wait() + timing.leader_batch_delay() + timing.peer_wait() * 2;
         assert!(known + timing.peer_wait() < Duration::from_millis(3_750));
     }
 }
@@ -258,8 +258,8 @@
     assert!(FeedTiming::new(Duration::from_secs(4)).is_stale(Duration::MAX, 1));
 }
 
-fn member(number: u16, zone: &str) -> RosterMember {
-    RosterMember {
+fn member(number: u16, zone: &str) -> HostRecord {
+    HostRecord {
         host: format!("host-{number}").into(),
         zone: zone.into(),
         address: SocketAddr::from(([10, 0, 0, 1], number)),
@@ -267,18 +267,18 @@
     }
 }
 
-fn roster(host: u16, hosts: u16) -> FeedRoster {
-    let mut roster = FeedRoster::new(member(host, "z0").host, "z0".into());
+fn roster(host: u16, hosts: u16) -> FeedTopology {
+    let mut roster = FeedTopology::new(member(host, "z0").host, "z0".into());
     let far = (100..140).map(|number| member(number, "z1"));
-    roster.list((0..hosts).map(|number| member(number, "z0")).chain(far).collect());
+    roster.set_hosts((0..hosts).map(|number| member(number, "z0")).chain(far).collect());
     roster
 }
 
-fn leads(roster: &FeedRoster, now: TimePoint) -> bool {
+fn leads(roster: &FeedTopology, now: TimePoint) -> bool {
     roster.plan(now) == FeedPlan::Lead
 }
 
-fn followed(roster: &FeedRoster, now: TimePoint) -> Vec<Name> {
+fn followed(roster: &FeedTopology, now: TimePoint) -> Vec<Name> {
     match roster.plan(now) {
         FeedPlan::Follow(leaders) => leaders.into_iter().map(|leader| leader.host).collect(),
         plan => panic!("{plan:?}"),
@@ -288,7 +288,7 @@
 #[test]
 fn plan_alone_in_small_zones() {
     assert_eq!(roster(0, 5).plan(NOW), FeedPlan::Alone);
-    assert_eq!(FeedRoster::new("host-0".into(), "z0".into()).plan(NOW), FeedPlan::Alone, "nobody is known");
+    assert_eq!(FeedTopology::new("host-0".into(), "z0".into()).plan(NOW), FeedPlan::Alone, "nobody is known");
     assert_eq!(roster(50, 20).plan(NOW), FeedPlan::Alone, "the own entry is not there yet");
 }
 
@@ -297,7 +297,7 @@
 #[test]
 fn plan_by_size() {
     for (hosts, relays) in [(6, 1), (22, 1), (26, 1), (27, 4), (49, 7), (75, 10), (143, 17), (200, 23)] {
-        let rosters: Vec<FeedRoster> = (0..hosts).map(|host| roster(host, hosts)).collect();
+        let rosters: Vec<FeedTopology> = (0..hosts).map(|host| roster(host, hosts)).collect();
         let plans: Vec<FeedPlan> = rosters.iter().map(|roster| roster.plan(NOW)).collect();
         assert_eq!(plans.iter().filter(|plan| **plan == FeedPlan::Lead).count(), 1, "{hosts} hosts");
         assert_eq!(plans.iter().filter(|plan| matches!(plan, FeedPlan::Relay(_))).count(), relays, "{hosts} hosts");
@@ -310,12 +310,12 @@
 }
 
 /// A zone in which ten hosts have a larger link than the rest.
-fn mixed_rosters(hosts: u16) -> Vec<FeedRoster> {
+fn mixed_rosters(hosts: u16) -> Vec<FeedTopology> {
     let strength = |number: u16| if number % 16 == 3 { 1_000 } else { 20 };
-    let members = || (0..hosts).map(|number| RosterMember { link_mbps: strength(number), ..member(number, "z0") });
+    let members = || (0..hosts).map(|number| HostRecord { link_mbps: strength(number), ..member(number, "z0") });
     let rosters = (0..hosts).map(|host| {
-        let mut roster = FeedRoster::new(member(host, "z0").host, "z0".into());
-        roster.list(members().collect());
+        let mut roster = FeedTopology::new(member(host, "z0").host, "z0".into());
+        roster.set_hosts(members().collect());
         roster
     });
     rosters.collect()
@@ -341,21 +341,21 @@
 
 #[test]
 fn most_told_by_link() {
-    assert_eq!(most_told(20), 1_000);
-    assert!(most_told(1_000) > 20_000, "{} of twice the largest fleet", most_told(1_000));
-    let mut log = FeedLog::default().most_told(2);
+    assert_eq!(snapshot_limit(20), 1_000);
+    assert!(snapshot_limit(1_000) > 20_000, "{} of twice the largest fleet", snapshot_limit(1_000));
+    let mut log = FeedLog::default().snapshot_limit(2);
     let objects = (0..3).map(|number| FeedChange { name: format!("o-{number}").into(), object: Some(number) });
     let revision = StoreRevision::new(1, 1);
     let changes = objects.collect();
-    log.take(&FeedNews { is_whole: true, changes, revision, heard_until: NOW, back_at: None, hops: 0 });
-    assert_eq!(log.after(None), None);
-    assert!(log.most_told(3).after(None).is_some());
+    log.apply(&FeedUpdate { is_snapshot: true, changes, revision, confirmed_until: NOW, grace_start: None, hops: 0 });
+    assert_eq!(log.update_after(None), None);
+    assert!(log.snapshot_limit(3).update_after(None).is_some());
 }
 
 /// In a large zone relays ask leaders and the others ask relays; nobody asks itself.
 #[test]
 fn plan_in_two_levels() {
-    let rosters: Vec<FeedRoster> = (0..49).map(|host| roster(host, 49)).collect();
+    let rosters: Vec<FeedTopology> = (0..49).map(|host| roster(host, 49)).collect();
     let plan_of = |name: &Name| {
         let host = (0..49).find(|host| member(*host, "z0").host == *name).unwrap();
         rosters[usize::from(host)].plan(NOW)
@@ -380,12 +380,12 @@
 }
 
 /// The host that asks the reader before the others, and has nobody else to ask.
-fn standby_of(rosters: &[FeedRoster]) -> Name {
-    let is_standby = |roster: &FeedRoster| matches!(roster.plan(NOW), FeedPlan::Relay(sources) if sources.len() == 1);
+fn standby_of(rosters: &[FeedTopology]) -> Name {
+    let is_standby = |roster: &FeedTopology| matches!(roster.plan(NOW), FeedPlan::Relay(sources) if sources.len() == 1);
     member(rosters.iter().position(is_standby).unwrap() as u16, "z0").host
 }
 
-fn reader_of(rosters: &[FeedRoster]) -> Name {
+fn reader_of(rosters: &[FeedTopology]) -> Name {
     member(rosters.iter().position(|roster| leads(roster, NOW)).unwrap() as u16, "z0").host
 }
 
@@ -393,10 +393,10 @@
 #[test]
 fn plan_without_reader() {
     for hosts in [6, 20, 49] {
-        let mut rosters: Vec<FeedRoster> = (0..hosts).map(|host| roster(host, hosts)).collect();
+        let mut rosters: Vec<FeedTopology> = (0..hosts).map(|host| roster(host, hosts)).collect();
         let (reader, standby) = (reader_of(&rosters), standby_of(&rosters));
         for roster in &mut rosters {
-            roster.pass_over(NOW, &reader, PassReason::Lost);
+            roster.skip_source(NOW, &reader, SkipReason::Failed);
         }
         let readers: Vec<Name> = (0..hosts)
             .filter(|host| leads(&rosters[usize::from(*host)], after(1_000)))
@@ -410,11 +410,11 @@
 /// Where both leaders are lost, relays take their place.
 #[test]
 fn plan_of_relays_without_leaders() {
-    let mut rosters: Vec<FeedRoster> = (0..49).map(|host| roster(host, 49)).collect();
+    let mut rosters: Vec<FeedTopology> = (0..49).map(|host| roster(host, 49)).collect();
     let leaders = [reader_of(&rosters), standby_of(&rosters)];
     for roster in &mut rosters {
         for leader in &leaders {
-            roster.pass_over(NOW, leader, PassReason::Lost);
+            roster.skip_source(NOW, leader, SkipReason::Failed);
         }
     }
     let reading = rosters.iter().filter(|roster| leads(roster, after(1_000)));
@@ -423,12 +423,12 @@
 
 #[test]
 fn plan_without_a_lost_leader() {
-    let mut rosters: Vec<FeedRoster> = (0..20).map(|host| roster(host, 20)).collect();
+    let mut rosters: Vec<FeedTopology> = (0..20).map(|host| roster(host, 20)).collect();
     let follower = rosters.iter().position(|roster| !leads(roster, NOW)).unwrap();
     let lost = followed(&rosters[follower], NOW);
     for roster in &mut rosters {
         for host in &lost {
-            roster.pass_over(NOW, host, PassReason::Lost);
+            roster.skip_source(NOW, host, SkipReason::Failed);
         }
     }
     let others = rosters.iter().filter(|roster| leads(roster, after(1_000))).count();
@@ -443,9 +443,9 @@
         let mut roster = roster(host, 49);
         let plan = roster.plan(NOW);
         for source in plan.sources() {
-            roster.pass_over(NOW, &source.host, PassReason::Outdated);
+            roster.skip_source(NOW, &source.host, SkipReason::Stale);
         }
-        roster.forgive();
+        roster.restore_stale_sources();
         assert_eq!(roster.plan(NOW), plan);
     }
 }
@@ -455,12 +455,12 @@
 fn plan_without_the_lost_in_an_outage() {
     let mut roster = (0..49).map(|host| roster(host, 49)).find(|roster| !leads(roster, NOW)).unwrap();
     let lost = followed_or_relayed(&roster).remove(0);
-    roster.pass_over(NOW, &lost, PassReason::Lost);
-    roster.forgive();
+    roster.skip_source(NOW, &lost, SkipReason::Failed);
+    roster.restore_stale_sources();
     assert!(!followed_or_relayed(&roster).contains(&lost));
 }
 
-fn followed_or_relayed(roster: &FeedRoster) -> Vec<Name> {
+fn followed_or_relayed(roster: &FeedTopology) -> Vec<Name> {
     roster.plan(NOW).sources().iter().map(|source| Name::clone(&source.host)).collect()
 }
 
@@ -470,16 +470,16 @@
     let mut roster = roster(0, 49);
     let (plan, helpers) = (roster.plan(NOW), roster.helpers(NOW));
     for helper in &helpers {
-        roster.pass_over_helper(NOW, &helper.host, PassReason::Outdated);
+        roster.skip_helper(NOW, &helper.host, SkipReason::Stale);
     }
     assert!(roster.helpers(NOW).iter().all(|helper| !helpers.contains(helper)));
     assert_eq!(roster.plan(NOW), plan);
     assert_eq!(roster.helpers(after(8_000)), helpers);
     // The same of those that were followed.
     for source in plan.sources() {
-        roster.pass_over(NOW, &source.host, PassReason::Outdated);
+        roster.skip_source(NOW, &source.host, SkipReason::Stale);
     }
-    roster.forgive();
+    roster.restore_stale_sources();
     assert!(roster.helpers(NOW).iter().all(|helper| !plan.sources().contains(helper)));
 }
 
@@ -491,10 +491,10 @@
     const LEADERS: u32 = 12;
     let contact = Duration::from_secs(5);
     let mut store = StoreContact::default();
-    store.failed(NOW);
+    store.note_failure(NOW);
     let a_second = |pause: Duration| Duration::from_secs(1).as_secs_f64() / pause.as_secs_f64();
-    let calls = f64::from(LEADERS) * a_second(store.pause(NOW))
-        + f64::from(HOSTS - LEADERS) * a_second(store.pause_of_told(NOW, contact));
+    let calls = f64::from(LEADERS) * a_second(store.retry_delay(NOW))
+        + f64::from(HOSTS - LEADERS) * a_second(store.follower_retry_delay(NOW, contact));
     assert!(calls < 500.0, "{calls} a second");
 }
 
@@ -507,10 +507,10 @@
         let mut store = StoreContact::default();
         let mut longest = Duration::ZERO;
         for _ in 0..6 {
-            let call = store.call_limit();
-            store.failed(NOW);
+            let call = store.call_timeout();
+            store.note_failure(NOW);
             let questions = timing.peer_wait() * 2;
-            longest = longest.max(call.max(store.pause_of_told(NOW, contact)) + questions);
+            longest = longest.max(call.max(store.follower_retry_delay(NOW, contact)) + questions);
         }
         let read_and_send = Duration::from_millis(50 + 250);
         assert!(longest + read_and_send <= contact, "{longest:?} of {contact:?}");
--- a/crates/hollyhook_core/tests/gateway/stopping.rs
+++ b/crates/hollyhook_core/tests/gateway/stopping.rs
@@ -21,12 +21,12 @@
         let plan = StopPlan::new(Duration::from_secs(grace));
         for passed in (0..grace * 1_000).step_by(10).map(Duration::from_millis) {
             for patience in [100, 1_000, 8_000].map(Duration::from_millis) {
-                let is_taken = plan.is_taking(RequestKind::NonIdempotent, patience, passed);
-                let is_right = passed < plan.caller_intake() || passed + patience <= plan.usable_grace();
+                let is_taken = plan.is_admitted(RequestKind::NonIdempotent, patience, passed);
+                let is_right = passed < plan.accept_period() || passed + patience <= plan.usable_grace();
                 assert_eq!(is_taken, is_right, "{grace} s, {passed:?}, {patience:?}");
             }
         }
-        assert!(plan.caller_intake() <= plan.usable_grace());
+        assert!(plan.accept_period() <= plan.usable_grace());
         assert!(plan.usable_grace() < Duration::from_secs(grace));
     }
 }
@@ -36,6 +36,6 @@
 fn streams_begun_end_in_time() {
     let plan = StopPlan::new(Duration::from_secs(8));
     let patience = Duration::from_secs(25);
-    let last = (0..8_000).map(Duration::from_millis).filter(|passed| plan.is_taking(STREAM, patience, *passed)).max();
+    let last = (0..8_000).map(Duration::from_millis).filter(|passed| plan.is_admitted(STREAM, patience, *passed)).max();
     assert!(last.unwrap() + Duration::from_secs(6) < plan.usable_grace());
 }
--- a/crates/hollyhook_core/tests/gateway/terms.rs
+++ b/crates/hollyhook_core/tests/gateway/terms.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use hollyhook_core::{EndpointRecord, EndpointState, EndpointTable, RateShare, RouteQuery, TermsLedger, TimePoint};
+use hollyhook_core::{EndpointRecord, EndpointState, EndpointTable, RateShare, RouteQuery, TermsTable, TimePoint};
 use rand::Rng;
 use rand_pcg::Pcg64;
 use rand_pcg::rand_core::SeedableRng;
@@ -90,8 +90,8 @@
     EndpointRecord::new(id.into(), "desk".into(), "z0".into(), ([10, 0, 0, 1], 80).into())
 }
 
-fn limited(terms: &mut TermsLedger, now: TimePoint, rate: f64) -> bool {
-    terms.limit(now, &"i-1".into(), rate, 8, &mut Pcg64::seed_from_u64(1))
+fn limited(terms: &mut TermsTable, now: TimePoint, rate: f64) -> bool {
+    terms.set_rate_limit(now, &"i-1".into(), rate, 8, &mut Pcg64::seed_from_u64(1))
 }
 
 #[test]
@@ -106,12 +106,12 @@
 
 #[test]
 fn rate_limit_ended_by_later_answer() {
-    let mut terms = TermsLedger::default();
+    let mut terms = TermsTable::default();
     assert!(limited(&mut terms, NOW, 0.1));
     assert!(!limited(&mut terms, after(1), 0.1), "the same again is no news");
-    assert!(!terms.unlimit(&"i-1".into(), NOW), "sent before the limit was heard");
+    assert!(!terms.clear_rate_limit(&"i-1".into(), NOW), "sent before the limit was heard");
     assert!(!terms.is_open(after(2), "i-1"));
-    assert!(terms.unlimit(&"i-1".into(), after(3)));
+    assert!(terms.clear_rate_limit(&"i-1".into(), after(3)));
     assert!(terms.is_open(after(3), "i-1"));
 }
 
@@ -136,8 +136,8 @@
     let mut table = EndpointTable::new("z0".into());
     table.upsert(record("i-1"));
     let query = RouteQuery::new("desk");
-    assert!(table.terms_mut().pause(NOW, &"i-1".into(), Duration::from_secs(3)));
-    assert!(!table.terms_mut().pause(NOW, &"i-1".into(), Duration::from_secs(1)), "a shorter one ends no sooner");
+    assert!(table.terms_mut().extend_pause(NOW, &"i-1".into(), Duration::from_secs(3)));
+    assert!(!table.terms_mut().extend_pause(NOW, &"i-1".into(), Duration::from_secs(1)), "a shorter one ends no sooner");
     assert_eq!(table.held_back_for(after(1_000), &query), Some(Duration::from_secs(2)));
     assert!(!table.try_open(after(2_999), "i-1"));
     assert!(table.try_open(after(3_000), "i-1"));
--- a/crates/hollyhook_gateway/src/forward/attempt_end.rs
+++ b/crates/hollyhook_gateway/src/forward/attempt_end.rs
@@ -12,10 +12,10 @@
     ledger: &mut AttemptLedger,
     failure: AttemptFailure,
 ) -> Option<StopReason> {
-    ledger.note(failure);
+    ledger.record_failure(failure);
     let reason = ledger.stop_reason(caller.time_left(context.timer.now()));
     let is_quarantined = || context.quarantine.refusal(|| caller.digest()).is_some();
     let reason = reason.or_else(|| is_quarantined().then_some(StopReason::Quarantined));
     let is_spent = || failure.has_arrived() && !context.try_retry(&caller.service);
-    reason.or_else(|| is_spent().then_some(StopReason::BudgetSpent))
+    reason.or_else(|| is_spent().then_some(StopReason::BudgetExhausted))
 }
--- a/crates/hollyhook_gateway/src/forward/event_stream.rs
+++ b/crates/hollyhook_gateway/src/forward/event_stream.rs
@@ -200,7 +200,7 @@
     }
 
     fn ended_by(&self, reason: StopReason) -> Error {
-        self.ledger.end(reason, self.relay.delivered(), BUSY_RETRY)
+        self.ledger.final_error(reason, self.relay.delivered(), BUSY_RETRY)
     }
 
     /// Opens an attempt if there is none.
@@ -218,7 +218,7 @@
             }
             let choice = choice.map_err(|lack| {
                 let retry = lack.pause.max(BUSY_RETRY);
-                self.ledger.end(lack.reason, self.relay.delivered(), retry)
+                self.ledger.final_error(lack.reason, self.relay.delivered(), retry)
             })?;
             let target = choice.place.target.clone();
             let sent_at = self.context.timer.now();
--- a/crates/hollyhook_gateway/src/forward/plain_call.rs
+++ b/crates/hollyhook_gateway/src/forward/plain_call.rs
@@ -95,7 +95,7 @@
     fn give_up(&mut self, reason: StopReason, retry_after: Duration) -> Result<Response<AnswerBody>> {
         match self.fallback.take() {
             Some(answer) => Ok(answer.into_response()),
-            None => Err(self.ledger.end(reason, 0, retry_after)),
+            None => Err(self.ledger.final_error(reason, 0, retry_after)),
         }
     }
 
--- a/crates/hollyhook_gateway/src/front/admission.rs
+++ b/crates/hollyhook_gateway/src/front/admission.rs
@@ -36,7 +36,7 @@
     let head = hollyhook_platform::caller_head(&parts.headers)?;
     let route = find_route(&site, &parts).map_err(|error| certain(error, context))?;
     let account = find_account(&site, &route, head.key.as_ref(), context)?;
-    let patience = head.patience.unwrap_or(route.timeout).min(route.timeout);
+    let patience = head.timeout.unwrap_or(route.timeout).min(route.timeout);
     check_stop(&route, patience, context)?;
     let deadline = arrived + patience;
     let (body, claim) = read_body(body, site.limits().body_bytes, deadline, context).await?;
--- a/crates/hollyhook_gateway/src/gateway/endpoint_directory.rs
+++ b/crates/hollyhook_gateway/src/gateway/endpoint_directory.rs
@@ -3,7 +3,7 @@
 
 use hollyhook_core::{
     AttemptFailure, EndpointId, EndpointRecord, EndpointState, EndpointTable, HomeCounts, LoadReport, Name, Result,
-    RouteQuery, SiteIndex, SiteLedger, StatedTerms, StopReason, TimePoint, ZoneName,
+    RouteQuery, SiteIndex, SiteLedger, AdvertisedTerms, StopReason, TimePoint, ZoneName,
 };
 use hollyhook_kernel::{ServiceRegistry, TimerService};
 use hollyhook_telemetry::MetricBoard;
@@ -176,19 +176,19 @@
     }
 
     /// Takes in on which terms an endpoint says that it takes requests.
-    pub(crate) fn note_terms(&self, id: &EndpointId, terms: StatedTerms) {
+    pub(crate) fn note_terms(&self, id: &EndpointId, terms: AdvertisedTerms) {
         if terms.is_leaving {
             self.note_leaving(id);
         }
         let now = self.timer.now();
         if let Some(rate) = terms.rate_limit {
             let hosts = self.feed.host_count().unwrap_or(UNLISTED_HOSTS);
-            if self.table().terms_mut().limit(now, id, rate, hosts, &mut rand::rng()) {
+            if self.table().terms_mut().set_rate_limit(now, id, rate, hosts, &mut rand::rng()) {
                 tracing::info!(endpoint = %id, rate, hosts, "endpoint.rate_limit");
             }
         }
         if let Some(span) = terms.pause
-            && self.table().terms_mut().pause(now, id, span)
+            && self.table().terms_mut().extend_pause(now, id, span)
         {
             self.board.count("endpoint_pauses");
             tracing::info!(endpoint = %id, pause_ms = span.as_millis() as u64, "endpoint.pause");
@@ -199,7 +199,7 @@
     ///
     /// Its answers to this host's own questions name none at any time, and must not end one.
     pub(crate) fn note_unlimited(&self, id: &EndpointId, sent_at: TimePoint) {
-        if self.table().terms_mut().unlimit(id, sent_at) {
+        if self.table().terms_mut().clear_rate_limit(id, sent_at) {
             tracing::info!(endpoint = %id, "endpoint.unlimited");
         }
     }
@@ -228,7 +228,7 @@
         match self.table().held_back_for(self.timer.now(), query) {
             Some(pause) => {
                 self.board.count("requests_held_back");
-                EndpointLack { reason: StopReason::HeldBack, pause }
+                EndpointLack { reason: StopReason::Throttled, pause }
             }
             None => EndpointLack { reason: StopReason::NoEndpoint, pause: Duration::ZERO },
         }
--- a/crates/hollyhook_gateway/src/gateway/gateway_context.rs
+++ b/crates/hollyhook_gateway/src/gateway/gateway_context.rs
@@ -153,7 +153,7 @@
     pub(crate) fn is_taking(&self, kind: RequestKind, patience: Duration) -> bool {
         let live = lock(&self.live);
         let passed = live.stop_ordered.map(|at| self.timer.now().since(at));
-        passed.is_none_or(|passed| live.stop().is_taking(kind, patience, passed))
+        passed.is_none_or(|passed| live.stop().is_admitted(kind, patience, passed))
     }
 
     /// Waits for the first configuration and list of endpoints of a process that has just started.
--- a/crates/hollyhook_gateway/src/gateway/gateway_process.rs
+++ b/crates/hollyhook_gateway/src/gateway/gateway_process.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use async_std::task;
-use hollyhook_core::{Error, ErrorKind, Name, Result, RosterMember, ZoneName};
+use hollyhook_core::{Error, ErrorKind, Name, Result, HostRecord, ZoneName};
 use hollyhook_kernel::ServiceRegistry;
 use hollyhook_settings::GatewaySettings;
 use hollyhook_wire::listen;
@@ -83,7 +83,7 @@
         let ordered_at = timer.now();
         self.context.order_stop();
         tracing::info!(requests = self.context.load.requests(), "gateway.stopping");
-        timer.wait(self.context.stop().caller_intake()).await;
+        timer.wait(self.context.stop().accept_period()).await;
         while timer.now().since(ordered_at) < self.context.stop().usable_grace() {
             if self.context.load.requests() == 0 {
                 tracing::info!("gateway.stopped");
@@ -113,7 +113,7 @@
     };
     let listener = bind(address, "peer_listen")?;
     let address = listener.local_addr().unwrap_or(address);
-    let own = RosterMember {
+    let own = HostRecord {
         host: Name::clone(&context.host),
         zone: ZoneName::clone(&context.zone),
         address,
--- a/crates/hollyhook_gateway/src/peer/feed_board.rs
+++ b/crates/hollyhook_gateway/src/peer/feed_board.rs
@@ -4,8 +4,8 @@
 
 use futures::channel::oneshot;
 use hollyhook_core::{
-    EraLedger, EraVerdict, FeedLog, FeedNews, FeedPlan, FeedRoster, Name, PassReason, RosterMember, StoreRevision,
-    TimePoint, ZoneName, most_told,
+    EraTracker, EraVerdict, FeedLog, FeedUpdate, FeedPlan, FeedTopology, Name, SkipReason, HostRecord, StoreRevision,
+    TimePoint, ZoneName, snapshot_limit,
 };
 use hollyhook_platform::{ObjectKind, StoreObject};
 
@@ -14,15 +14,15 @@
 /// What this host knows of the store and tells others, and who they are.
 #[derive(Debug)]
 pub(crate) struct FeedBoard {
-    roster: Mutex<FeedRoster>,
+    roster: Mutex<FeedTopology>,
     logs: Mutex<HashMap<ObjectKind, FeedLog<StoreObject>>>,
     /// Those who wait for news of any kind.
     waiters: WakeList,
     /// Whether the other hosts are being listed for the first time.
     is_listing: AtomicBool,
-    eras: Mutex<EraLedger>,
+    eras: Mutex<EraTracker>,
     /// Objects up to which all of a kind are told at once.
-    most_told: usize,
+    snapshot_limit: usize,
 }
 
 impl FeedBoard {
@@ -32,12 +32,12 @@
     /// The board of a host whose link carries `link_mbps` Mbit/s.
     pub(crate) fn new(host: Name, zone: ZoneName, link_mbps: u32) -> Self {
         Self {
-            roster: Mutex::new(FeedRoster::new(host, zone)),
+            roster: Mutex::new(FeedTopology::new(host, zone)),
             logs: Mutex::default(),
             waiters: WakeList::default(),
             is_listing: AtomicBool::new(false),
             eras: Mutex::default(),
-            most_told: most_told(link_mbps),
+            snapshot_limit: snapshot_limit(link_mbps),
         }
     }
 
@@ -48,7 +48,7 @@
 
     /// Judges an answer by the era of the store that it tells.
     pub(crate) fn judge_era(&self, told: Option<u64>) -> EraVerdict {
-        lock(&self.eras).judge(told)
+        lock(&self.eras).observe(told)
     }
 
     /// Notes that the other hosts will be listed soon.
@@ -82,33 +82,33 @@
     }
 
     /// Whom to ask when the store gives no answer.
-    pub(crate) fn helpers(&self, now: TimePoint) -> Vec<RosterMember> {
+    pub(crate) fn helpers(&self, now: TimePoint) -> Vec<HostRecord> {
         lock(&self.roster).helpers(now)
     }
 
     /// Takes in all hosts that are registered.
-    pub(crate) fn list_members(&self, members: Vec<RosterMember>) {
-        lock(&self.roster).list(members);
+    pub(crate) fn list_members(&self, members: Vec<HostRecord>) {
+        lock(&self.roster).set_hosts(members);
     }
 
     /// Notes that a host to learn from was of no use.
-    pub(crate) fn pass_over(&self, now: TimePoint, host: &Name, reason: PassReason) {
-        lock(&self.roster).pass_over(now, host, reason);
+    pub(crate) fn pass_over(&self, now: TimePoint, host: &Name, reason: SkipReason) {
+        lock(&self.roster).skip_source(now, host, reason);
     }
 
     /// Notes that a host was of no use that was asked for help.
-    pub(crate) fn pass_over_helper(&self, now: TimePoint, host: &Name, reason: PassReason) {
-        lock(&self.roster).pass_over_helper(now, host, reason);
+    pub(crate) fn pass_over_helper(&self, now: TimePoint, host: &Name, reason: SkipReason) {
+        lock(&self.roster).skip_helper(now, host, reason);
     }
 
     /// Notes that the store gives this host no answer either.
     pub(crate) fn forgive(&self) {
-        lock(&self.roster).forgive();
+        lock(&self.roster).restore_stale_sources();
     }
 
     /// Takes news in.
-    pub(crate) fn take(&self, kind: ObjectKind, news: &FeedNews<StoreObject>) {
-        lock(&self.logs).entry(kind).or_insert_with(|| FeedLog::default().most_told(self.most_told)).take(news);
+    pub(crate) fn take(&self, kind: ObjectKind, news: &FeedUpdate<StoreObject>) {
+        lock(&self.logs).entry(kind).or_insert_with(|| FeedLog::default().snapshot_limit(self.snapshot_limit)).apply(news);
         if news.is_empty() {
             return;
         }
@@ -116,8 +116,8 @@
     }
 
     /// What changed after a revision; none if this host may not tell.
-    pub(crate) fn after(&self, kind: ObjectKind, revision: Option<StoreRevision>) -> Option<FeedNews<StoreObject>> {
-        lock(&self.logs).get(&kind)?.after(revision)
+    pub(crate) fn after(&self, kind: ObjectKind, revision: Option<StoreRevision>) -> Option<FeedUpdate<StoreObject>> {
+        lock(&self.logs).get(&kind)?.update_after(revision)
     }
 
     /// Whether this host has heard of any objects of that kind.
--- a/crates/hollyhook_gateway/src/peer/feed_message.rs
+++ b/crates/hollyhook_gateway/src/peer/feed_message.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use hollyhook_core::{FeedChange, FeedNews, Name, StoreRevision, TimePoint};
+use hollyhook_core::{FeedChange, FeedUpdate, Name, StoreRevision, TimePoint};
 use hollyhook_platform::{JsonText, ObjectKind, StoreObject};
 use serde::{Deserialize, Serialize};
 
@@ -78,13 +78,13 @@
 
 impl FeedMessage {
     /// The message for news, told at `now` in answer to a question that came at `asked_at`.
-    pub(super) fn new(news: FeedNews<StoreObject>, asked_at: TimePoint, now: TimePoint) -> Self {
+    pub(super) fn new(news: FeedUpdate<StoreObject>, asked_at: TimePoint, now: TimePoint) -> Self {
         Self {
-            is_whole: news.is_whole,
+            is_whole: news.is_snapshot,
             era: news.revision.era,
             revision: news.revision.number,
-            age_ms: now.since(news.heard_until).as_millis() as u64,
-            back_ms_ago: news.back_at.map(|at| now.since(at).as_millis() as u64),
+            age_ms: now.since(news.confirmed_until).as_millis() as u64,
+            back_ms_ago: news.grace_start.map(|at| now.since(at).as_millis() as u64),
             hops: news.hops,
             held_ms: now.since(asked_at).as_millis() as u64,
             changes: news.changes.into_iter().map(MessageChange::from).collect(),
@@ -97,14 +97,14 @@
     /// was held. The ages count from then, so that a delayed answer never makes anything look newer than it is.
     /// Counted from the question alone, what passed through two hosts would look older than it is, and in an outage of the store
     /// keys would be refused that much sooner.
-    pub(super) fn into_news(self, asked_at: TimePoint, wait: Duration) -> FeedNews<StoreObject> {
+    pub(super) fn into_news(self, asked_at: TimePoint, wait: Duration) -> FeedUpdate<StoreObject> {
         let answered_at = asked_at + Duration::from_millis(self.held_ms).min(wait);
-        FeedNews {
-            is_whole: self.is_whole,
+        FeedUpdate {
+            is_snapshot: self.is_whole,
             changes: self.changes.into_iter().map(FeedChange::from).collect(),
             revision: StoreRevision::new(self.era, self.revision),
-            heard_until: before(answered_at, self.age_ms),
-            back_at: self.back_ms_ago.map(|ms| before(answered_at, ms)),
+            confirmed_until: before(answered_at, self.age_ms),
+            grace_start: self.back_ms_ago.map(|ms| before(answered_at, ms)),
             hops: self.hops.saturating_add(1),
         }
     }
--- a/crates/hollyhook_gateway/src/peer/feed_server.rs
+++ b/crates/hollyhook_gateway/src/peer/feed_server.rs
@@ -5,7 +5,7 @@
 use async_std::net::TcpListener;
 use async_std::task;
 use bytes::Bytes;
-use hollyhook_core::FeedNews;
+use hollyhook_core::FeedUpdate;
 use hollyhook_platform::StoreObject;
 use http::{Request, Response, StatusCode};
 use http_body_util::Full;
@@ -61,7 +61,7 @@
 }
 
 /// The news after the follower's revision; none if this host may not tell, or has heard nothing itself within the wait.
-async fn wait_for_news(context: &GatewayContext, query: &FeedQuery) -> Option<FeedNews<StoreObject>> {
+async fn wait_for_news(context: &GatewayContext, query: &FeedQuery) -> Option<FeedUpdate<StoreObject>> {
     let until = context.timer.now() + query.wait.min(MOST_WAIT);
     loop {
         // Waited for before looking, so that what comes in between is not missed.
@@ -69,7 +69,7 @@
         let news = context.feed.after(query.kind, query.after);
         let time_left = until.since(context.timer.now());
         // After a loss of all hosts those that are asked start at the same moment as those that ask.
-        let is_awaited = news.as_ref().map_or(!context.feed.has_heard(query.kind), FeedNews::is_empty);
+        let is_awaited = news.as_ref().map_or(!context.feed.has_heard(query.kind), FeedUpdate::is_empty);
         if !is_awaited || time_left.is_zero() {
             return news;
         }
--- a/crates/hollyhook_gateway/src/peer/host_register.rs
+++ b/crates/hollyhook_gateway/src/peer/host_register.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollyhook_core::{RosterMember, ZoneName};
+use hollyhook_core::{HostRecord, ZoneName};
 
 use crate::gateway::GatewayContext;
 use crate::store::{StoreClient, StoreError};
@@ -27,15 +27,15 @@
 pub(crate) struct HostRegister {
     context: Arc<GatewayContext>,
     client: StoreClient,
-    own: RosterMember,
+    own: HostRecord,
     /// The hosts of each zone as they were last listed.
-    zones: BTreeMap<ZoneName, Vec<RosterMember>>,
+    zones: BTreeMap<ZoneName, Vec<HostRecord>>,
     /// The other zone that was listed last.
     last_listed: ZoneName,
 }
 
 impl HostRegister {
-    pub(crate) fn new(context: Arc<GatewayContext>, own: RosterMember) -> Self {
+    pub(crate) fn new(context: Arc<GatewayContext>, own: HostRecord) -> Self {
         let client = StoreClient::new(&context);
         Self { context, client, own, zones: BTreeMap::new(), last_listed: ZoneName::default() }
     }
@@ -125,15 +125,15 @@
         Some(is_listed)
     }
 
-    fn take(&mut self, zone: ZoneName, members: Vec<RosterMember>) {
+    fn take(&mut self, zone: ZoneName, members: Vec<HostRecord>) {
         self.zones.insert(zone, members);
-        let members: Vec<RosterMember> = self.zones.values().flatten().cloned().collect();
+        let members: Vec<HostRecord> = self.zones.values().flatten().cloned().collect();
         tracing::debug!(hosts = members.len(), "hosts.listed");
         self.context.feed.list_members(members);
         self.context.board.count("hosts_listed");
     }
 
-    async fn list(&mut self, zone: &ZoneName) -> Result<Vec<RosterMember>, StoreError> {
+    async fn list(&mut self, zone: &ZoneName) -> Result<Vec<HostRecord>, StoreError> {
         let objects = self.client.list_hosts(zone).await?;
         let mut members = Vec::with_capacity(objects.len());
         for object in objects.iter().filter(|object| !object.is_deleting) {
--- a/crates/hollyhook_gateway/src/peer/peer_client.rs
+++ b/crates/hollyhook_gateway/src/peer/peer_client.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use hollyhook_core::{FeedNews, FeedTiming, PassReason, RosterMember, StoreRevision, TimePoint, is_stale_help};
+use hollyhook_core::{FeedUpdate, FeedTiming, SkipReason, HostRecord, StoreRevision, TimePoint, is_helper_stale};
 use hollyhook_kernel::TimerService;
 use hollyhook_platform::{ObjectKind, StoreObject};
 use http::{Method, StatusCode};
@@ -34,8 +34,8 @@
     /// How long the answer may take.
     fn limit(self, timing: FeedTiming) -> Duration {
         match self {
-            Self::ListSource => timing.list_limit(),
-            Self::Leader | Self::Source | Self::Helper => timing.peer_limit(self.wait(timing)),
+            Self::ListSource => timing.list_timeout(),
+            Self::Leader | Self::Source | Self::Helper => timing.peer_timeout(self.wait(timing)),
         }
     }
 
@@ -43,7 +43,7 @@
         let age = Duration::from_millis(message.age_ms);
         match self {
             Self::Leader | Self::Source | Self::ListSource => timing.is_stale(age, message.hops),
-            Self::Helper => is_stale_help(age),
+            Self::Helper => is_helper_stale(age),
         }
     }
 }
@@ -51,19 +51,19 @@
 /// Why another host's answer is of no use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PeerFault {
-    pub(crate) reason: PassReason,
+    pub(crate) reason: SkipReason,
     pub(crate) why: &'static str,
 }
 
 impl PeerFault {
     fn outdated(why: &'static str) -> Self {
-        Self { reason: PassReason::Outdated, why }
+        Self { reason: SkipReason::Stale, why }
     }
 }
 
 impl From<LineFault> for PeerFault {
     fn from(fault: LineFault) -> Self {
-        Self { reason: PassReason::Lost, why: fault.0 }
+        Self { reason: SkipReason::Failed, why: fault.0 }
     }
 }
 
@@ -96,9 +96,9 @@
     /// What is wrong, if it does not answer, may not tell, or knows only what is too old.
     pub(crate) async fn ask(
         &mut self,
-        host: &RosterMember,
+        host: &HostRecord,
         question: PeerQuestion,
-    ) -> Result<FeedNews<StoreObject>, PeerFault> {
+    ) -> Result<FeedUpdate<StoreObject>, PeerFault> {
         let PeerQuestion { role, kind, after, timing, asked_at } = question;
         let wait = role.wait(timing);
         let query = FeedQuery { kind, after, wait };
--- a/crates/hollyhook_gateway/src/store/endpoint_watch.rs
+++ b/crates/hollyhook_gateway/src/store/endpoint_watch.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use async_std::task;
-use hollyhook_core::{EndpointMembership, EndpointRecord, FeedNews, FeedPlan, Name, StoreRevision, TimePoint};
+use hollyhook_core::{EndpointMembership, EndpointRecord, FeedUpdate, FeedPlan, Name, StoreRevision, TimePoint};
 use hollyhook_platform::{ObjectKind, StoreObject};
 
 use super::{FeedReader, QuarantineWriter, StoreError};
@@ -32,7 +32,7 @@
     reader: FeedReader,
     membership: Arc<Mutex<EndpointMembership>>,
     /// The store's last return that was taken in.
-    back_at: Option<TimePoint>,
+    grace_start: Option<TimePoint>,
     /// The store's revision in the first news of its era.
     began: StoreRevision,
     /// Entries in the copy from which the store came back that may be of endpoints that left, or say what was before.
@@ -50,7 +50,7 @@
             context,
             reader,
             membership: Arc::default(),
-            back_at: None,
+            grace_start: None,
             began: StoreRevision::default(),
             doubtful: BTreeMap::new(),
             malformed: BTreeMap::new(),
@@ -70,7 +70,7 @@
 
     fn gather_pause(&self) -> Duration {
         match self.reader.plan() {
-            FeedPlan::Lead => return self.context.feed_timing().leader_gather(),
+            FeedPlan::Lead => return self.context.feed_timing().leader_batch_delay(),
             // A leader has gathered already, and others wait for what is told on.
             FeedPlan::Relay(_) => return Duration::ZERO,
             FeedPlan::Follow(_) => return TOLD_GATHER,
@@ -85,10 +85,10 @@
     async fn step(&mut self) -> Result<bool, StoreError> {
         let news = self.reader.next().await?;
         self.context.wait_for_site().await;
-        self.context.endpoints.confirm(news.heard_until);
+        self.context.endpoints.confirm(news.confirmed_until);
         self.note_era(&news);
         self.note_return(&news);
-        if news.is_whole {
+        if news.is_snapshot {
             self.forget_missing(&news);
         }
         for change in &news.changes {
@@ -106,7 +106,7 @@
         self.context.quarantine.note_gone(&self.context.endpoints.take_lost());
         self.context.rollouts.note_versions();
         QuarantineWriter::wake(&self.context);
-        if news.is_whole {
+        if news.is_snapshot {
             self.context.wait_for_versions().await;
             self.context.note_endpoints_listed();
         }
@@ -114,7 +114,7 @@
     }
 
     /// Takes in that the store came back from an older copy of itself.
-    fn note_era(&mut self, news: &FeedNews<StoreObject>) {
+    fn note_era(&mut self, news: &FeedUpdate<StoreObject>) {
         if news.revision.era <= self.began.era {
             return;
         }
@@ -128,7 +128,7 @@
             era = news.revision.era,
             revision = news.revision.number,
             kind = "endpoints",
-            is_whole = news.is_whole,
+            is_whole = news.is_snapshot,
             "store.came_back_older"
         );
     }
@@ -153,17 +153,17 @@
         }
     }
 
-    fn note_return(&mut self, news: &FeedNews<StoreObject>) {
-        let Some(at) = news.back_at.filter(|at| Some(*at) > self.back_at) else {
+    fn note_return(&mut self, news: &FeedUpdate<StoreObject>) {
+        let Some(at) = news.grace_start.filter(|at| Some(*at) > self.grace_start) else {
             return;
         };
-        self.back_at = Some(at);
+        self.grace_start = Some(at);
         lock(&self.membership).platform_back(at);
         // By itself, since the next watch may wait for longer than a leaving endpoint may still get work.
         task::spawn(forget_when_due(Arc::clone(&self.context), Arc::clone(&self.membership), at));
     }
 
-    fn forget_missing(&mut self, news: &FeedNews<StoreObject>) {
+    fn forget_missing(&mut self, news: &FeedUpdate<StoreObject>) {
         let present: BTreeSet<&Name> = news.changes.iter().map(|change| &change.name).collect();
         let known: BTreeSet<Name> =
             self.context.endpoints.table().iter().map(|record| Name::clone(&record.entry)).collect();
@@ -230,8 +230,8 @@
 }
 
 /// Forgets the entries that did not come back after the store's return, when that is certain.
-async fn forget_when_due(context: Arc<GatewayContext>, membership: Arc<Mutex<EndpointMembership>>, back_at: TimePoint) {
-    let due = back_at + EndpointMembership::RETURN_GRACE;
+async fn forget_when_due(context: Arc<GatewayContext>, membership: Arc<Mutex<EndpointMembership>>, grace_start: TimePoint) {
+    let due = grace_start + EndpointMembership::RETURN_GRACE;
     context.timer.wait(due.since(context.timer.now())).await;
     let lapsed = lock(&membership).lapsed(context.timer.now());
     for entry in lapsed {
--- a/crates/hollyhook_gateway/src/store/feed_reader.rs
+++ b/crates/hollyhook_gateway/src/store/feed_reader.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use hollyhook_core::{
-    EraVerdict, FeedChange, FeedNews, FeedPlan, Name, PassReason, RosterMember, StoreContact, StoreRevision, TimePoint,
+    EraVerdict, FeedChange, FeedUpdate, FeedPlan, Name, SkipReason, HostRecord, StoreContact, StoreRevision, TimePoint,
 };
 use hollyhook_platform::{ObjectKind, StoreChange, StoreObject};
 
@@ -37,7 +37,7 @@
     /// The newest era in which news came.
     era: u64,
     /// Until when the last news were certain.
-    pub(super) heard_until: TimePoint,
+    pub(super) confirmed_until: TimePoint,
     pub(super) contact: StoreContact,
     /// When the first call began that the store did not answer; none while it answers.
     lost_at: Option<TimePoint>,
@@ -61,7 +61,7 @@
             wait,
             revision: None,
             era: 0,
-            heard_until: TimePoint::ZERO,
+            confirmed_until: TimePoint::ZERO,
             contact: StoreContact::default(),
             lost_at: None,
             begun: None,
@@ -86,7 +86,7 @@
     /// # Errors
     ///
     /// Why neither another host nor the store gave any.
-    pub(crate) async fn next(&mut self) -> Result<FeedNews<StoreObject>, StoreError> {
+    pub(crate) async fn next(&mut self) -> Result<FeedUpdate<StoreObject>, StoreError> {
         if std::mem::take(&mut self.is_helped) {
             self.context.timer.wait(HELP_PAUSE).await;
         }
@@ -98,7 +98,7 @@
         // In a first list, or a new one, of many pages another host is asked for the rest.
         let sources = if self.has_long_list() { &[] } else { plan.sources() };
         if let Some(news) = self.ask_hosts(role, sources).await {
-            self.contact.heard(self.context.timer.now());
+            self.contact.note_peer_answer(self.context.timer.now());
             self.take(&news);
             return Ok(news);
         }
@@ -134,7 +134,7 @@
     }
 
     /// Whom to ask when the store gives no answer.
-    fn helpers(&self) -> Vec<RosterMember> {
+    fn helpers(&self) -> Vec<HostRecord> {
         self.context.feed.helpers(self.context.timer.now())
     }
 
@@ -142,28 +142,28 @@
     pub(crate) async fn pause(&self) {
         let now = self.context.timer.now();
         let pause = if self.plan().sources().is_empty() {
-            self.contact.pause(now)
+            self.contact.retry_delay(now)
         } else {
-            self.contact.pause_of_told(now, self.context.contact_bound())
+            self.contact.follower_retry_delay(now, self.context.contact_bound())
         };
         self.context.timer.wait(pause).await;
     }
 
     /// How long a watch waits for others: what they are told ages meanwhile, from when the last answer was certain.
     fn leader_wait(&self) -> Duration {
-        let age = self.context.timer.now().since(self.heard_until);
+        let age = self.context.timer.now().since(self.confirmed_until);
         self.context.feed_timing().leader_wait().saturating_sub(age).max(LEAST_WAIT)
     }
 
-    fn take(&mut self, news: &FeedNews<StoreObject>) {
+    fn take(&mut self, news: &FeedUpdate<StoreObject>) {
         self.revision = self.revision.max(Some(news.revision));
         self.era = news.revision.era;
-        self.heard_until = news.heard_until;
+        self.confirmed_until = news.confirmed_until;
         self.context.feed.take(self.kind, news);
     }
 
     /// What the first of these hosts knows that is of use; the others are passed over for a while.
-    pub(super) async fn ask_hosts(&mut self, role: PeerRole, hosts: &[RosterMember]) -> Option<FeedNews<StoreObject>> {
+    pub(super) async fn ask_hosts(&mut self, role: PeerRole, hosts: &[HostRecord]) -> Option<FeedUpdate<StoreObject>> {
         for host in hosts {
             let question = PeerQuestion {
                 role,
@@ -175,7 +175,7 @@
             match self.peers.ask(host, question).await {
                 Ok(news) if news.revision.era < self.context.feed.era() => {
                     let why = "it has not heard that the store came back from a copy";
-                    self.pass_over(role, host, PeerFault { reason: PassReason::Outdated, why });
+                    self.pass_over(role, host, PeerFault { reason: SkipReason::Stale, why });
                 }
                 Ok(news) => {
                     self.note_era(host, &news);
@@ -188,14 +188,14 @@
     }
 
     /// Takes in the era of the store that another host heard of.
-    fn note_era(&self, host: &RosterMember, news: &FeedNews<StoreObject>) {
+    fn note_era(&self, host: &HostRecord, news: &FeedUpdate<StoreObject>) {
         let (before, era) = (self.context.feed.era(), news.revision.era);
         if era > 0 && self.context.feed.judge_era(Some(era)) == EraVerdict::Newer {
             tracing::info!(before, era, told_by = %host.host, "store.era");
         }
     }
 
-    fn pass_over(&self, role: PeerRole, host: &RosterMember, fault: PeerFault) {
+    fn pass_over(&self, role: PeerRole, host: &HostRecord, fault: PeerFault) {
         let now = self.context.timer.now();
         match role {
             PeerRole::Leader | PeerRole::Source | PeerRole::ListSource => {
@@ -214,7 +214,7 @@
     ///
     /// Connections go silent for good while new ones work. To ask two other hosts first (0.25 s each) and pause (0.25 s) would
     /// make the host that much later to know of endpoints that leave.
-    async fn ask_store(&mut self, usual_wait: Duration) -> Result<FeedNews<StoreObject>, StoreError> {
+    async fn ask_store(&mut self, usual_wait: Duration) -> Result<FeedUpdate<StoreObject>, StoreError> {
         let was_away = self.contact.is_away();
         match self.call_store(self.revision, usual_wait).await {
             Err(StoreError::Away(_)) if !was_away => self.call_store(None, usual_wait).await,
@@ -227,7 +227,7 @@
         &mut self,
         revision: Option<StoreRevision>,
         usual_wait: Duration,
-    ) -> Result<FeedNews<StoreObject>, StoreError> {
+    ) -> Result<FeedUpdate<StoreObject>, StoreError> {
         let asked_at = self.context.timer.now();
         let mut outcome = match revision {
             Some(revision) => self.watch(asked_at, revision, usual_wait).await,
@@ -235,21 +235,21 @@
         };
         match &mut outcome {
             // Another host told it, which says nothing of the store's way to this one.
-            Ok(news) if news.hops > 0 => self.contact.heard(self.context.timer.now()),
+            Ok(news) if news.hops > 0 => self.contact.note_peer_answer(self.context.timer.now()),
             Ok(news) => {
                 self.note_regained(asked_at);
                 let (now, bound) = (self.context.timer.now(), self.context.contact_bound());
-                let has_come_back = self.heard_until > TimePoint::ZERO && news.revision.era > self.era;
-                news.back_at = if has_come_back {
-                    Some(self.contact.came_back(now, bound))
+                let has_come_back = self.confirmed_until > TimePoint::ZERO && news.revision.era > self.era;
+                news.grace_start = if has_come_back {
+                    Some(self.contact.note_restore(now, bound))
                 } else {
-                    self.contact.answered(now, bound)
+                    self.contact.note_answer(now, bound)
                 };
             }
             Err(StoreError::HistoryGone) => self.note_regained(asked_at),
             Err(error) => {
                 self.note_lost(asked_at, error);
-                self.contact.failed(asked_at);
+                self.contact.note_failure(asked_at);
             }
         }
         outcome
@@ -283,16 +283,16 @@
         asked_at: TimePoint,
         revision: StoreRevision,
         usual_wait: Duration,
-    ) -> Result<FeedNews<StoreObject>, StoreError> {
+    ) -> Result<FeedUpdate<StoreObject>, StoreError> {
         let wait = self.contact.watch_wait(asked_at, usual_wait, self.context.contact_bound());
-        let limit = self.contact.watch_limit(wait);
+        let limit = self.contact.watch_timeout(wait);
         let (changes, revision) = self.client.watch(self.kind, revision, wait, limit).await?;
         let is_quiet = changes.is_empty();
         // A watch that returned nothing waited its full time and saw nothing up to then.
         let waited_until = (asked_at + wait).min(self.context.timer.now());
-        let heard_until = if is_quiet { waited_until } else { asked_at };
+        let confirmed_until = if is_quiet { waited_until } else { asked_at };
         let changes = changes.into_iter().map(|known| change(self.kind, known)).collect();
-        Ok(FeedNews { is_whole: false, changes, revision, heard_until, back_at: None, hops: 0 })
+        Ok(FeedUpdate { is_snapshot: false, changes, revision, confirmed_until, grace_start: None, hops: 0 })
     }
 }
 
--- a/crates/hollyhook_gateway/src/store/list_reading.rs
+++ b/crates/hollyhook_gateway/src/store/list_reading.rs
@@ -1,7 +1,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use hollyhook_core::{FeedChange, FeedNews, Name, TimePoint};
+use hollyhook_core::{FeedChange, FeedUpdate, Name, TimePoint};
 use hollyhook_platform::{JsonText, ObjectKind, StoreObject};
 
 use super::page_list::PageList;
@@ -26,10 +26,10 @@
 /// Reading all objects of a kind.
 impl FeedReader {
     /// All objects, from the store or from the host that this one follows.
-    pub(super) async fn list(&mut self, asked_at: TimePoint) -> Result<FeedNews<StoreObject>, StoreError> {
+    pub(super) async fn list(&mut self, asked_at: TimePoint) -> Result<FeedUpdate<StoreObject>, StoreError> {
         let begun = self.begun.take().filter(|list| asked_at.since(list.asked_at) < LIST_KEPT);
         let mut list = begun.unwrap_or_else(|| PageList::new(asked_at));
-        let limit = self.contact.call_limit();
+        let limit = self.contact.call_timeout();
         // Where many hosts start at once, the first pages of all would hold up the list of the one that reads it for them.
         let mut has_asked = list.after.is_none() && self.has_relays().await;
         if has_asked && let Some(news) = self.ask_list_source().await {
@@ -66,7 +66,7 @@
 
     /// Tells what is read of a first list before it is whole.
     async fn tell_part(&mut self, list: &PageList) {
-        if self.heard_until > TimePoint::ZERO || self.part_taker.is_none() {
+        if self.confirmed_until > TimePoint::ZERO || self.part_taker.is_none() {
             return;
         }
         self.context.wait_for_site().await;
@@ -89,7 +89,7 @@
     ///
     /// Where hundreds of hosts read thousands of entries each, as after a loss of power of all, the store's one link is busy for
     /// minutes, and each page is a call.
-    async fn ask_list_source(&mut self) -> Option<FeedNews<StoreObject>> {
+    async fn ask_list_source(&mut self) -> Option<FeedUpdate<StoreObject>> {
         if self.kind != ObjectKind::Endpoint {
             return None;
         }
@@ -98,16 +98,16 @@
     }
 }
 
-fn whole_news(list: PageList) -> FeedNews<StoreObject> {
+fn whole_news(list: PageList) -> FeedUpdate<StoreObject> {
     let PageList { asked_at, objects, revision, .. } = list;
     let present = objects.into_iter().filter(|object| !object.is_deleting);
     let changes = present.map(|object| FeedChange { name: Name::clone(&object.name), object: Some(object) });
-    FeedNews {
-        is_whole: true,
+    FeedUpdate {
+        is_snapshot: true,
         changes: changes.collect(),
         revision: revision.unwrap_or_default(),
-        heard_until: asked_at,
-        back_at: None,
+        confirmed_until: asked_at,
+        grace_start: None,
         hops: 0,
     }
 }
--- a/crates/hollyhook_gateway/src/store/site_watch.rs
+++ b/crates/hollyhook_gateway/src/store/site_watch.rs
@@ -42,13 +42,13 @@
     async fn step(&mut self) -> Result<(), StoreError> {
         let news = self.reader.next().await?;
         if news.changes.is_empty() {
-            self.context.confirm_site(news.heard_until);
+            self.context.confirm_site(news.confirmed_until);
             return Ok(());
         }
         for object in news.changes.iter().filter_map(|change| change.object.as_ref()) {
-            self.adopt(object, news.heard_until, news.revision.era);
+            self.adopt(object, news.confirmed_until, news.revision.era);
         }
-        if !news.is_whole {
+        if !news.is_snapshot {
             self.context.timer.wait(GATHER_PAUSE).await;
         }
         Ok(())
--- a/crates/hollyhook_gateway/src/store/store_client.rs
+++ b/crates/hollyhook_gateway/src/store/store_client.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hollyhook_core::{CrashRecords, EraVerdict, Name, RolloutOrder, RosterMember, StoreRevision};
+use hollyhook_core::{CrashRecords, EraVerdict, Name, RolloutOrder, HostRecord, StoreRevision};
 use hollyhook_kernel::TimerService;
 use hollyhook_platform::{ObjectKind, RolloutStatus, StoreChange, StoreFault, StoreObject, StorePage, TrialReport};
 use http::{Method, Response, StatusCode};
@@ -172,7 +172,7 @@
     }
 
     /// Writes this host's entry, whether there is one or not.
-    pub(crate) async fn register_host(&mut self, member: &RosterMember) -> Result<(), StoreError> {
+    pub(crate) async fn register_host(&mut self, member: &HostRecord) -> Result<(), StoreError> {
         let body = hollyhook_platform::encode_host(member).map_err(StoreError::Malformed)?;
         let create = hollyhook_platform::host_create_path(&member.zone);
         let replace = hollyhook_platform::host_path(&member.zone, &member.host);
