--- a/crates/hollyhook_core/src/feed/era_tracker.rs
+++ b/crates/hollyhook_core/src/feed/era_tracker.rs
@@ -1,26 +1,26 @@
-/// What an answer of the platform's store says of its era, against what is known.
+/// How the era in an answer of the platform's store compares with the newest era seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EraVerdict {
-    /// It is the era that is known.
+    /// The answer has the newest era, or the store has never stated one.
     Same,
-    /// The store came back from an older copy since the last answer.
+    /// The store was restored from an older copy since the last answer.
     Newer,
-    /// The answer is of an era before: nothing in it may be believed.
+    /// The answer is from an earlier era; nothing in it may be used.
     Older,
-    /// The store has told its era before, and this answer does not: nothing in it can be ordered.
+    /// The answer states no era although an earlier one did, so that nothing in it can be ordered.
     Missing,
 }
 
-/// The newest era of the platform's store that a host has heard of, on whichever connection and from whichever host.
+/// The newest era of the platform's store that a host has seen, on any connection and from any other host.
 ///
 /// ```
-/// use hollyhook_core::{EraLedger, EraVerdict};
+/// use hollyhook_core::{EraTracker, EraVerdict};
 ///
-/// let mut ledger = EraLedger::default();
-/// assert_eq!(ledger.observe(None), EraVerdict::Same, "a store that does not tell its era");
-/// assert_eq!(ledger.observe(Some(3)), EraVerdict::Newer);
-/// assert_eq!(ledger.observe(Some(2)), EraVerdict::Older);
-/// assert_eq!(ledger.era(), 3);
+/// let mut tracker = EraTracker::default();
+/// assert_eq!(tracker.observe(None), EraVerdict::Same, "a store that does not state its era");
+/// assert_eq!(tracker.observe(Some(3)), EraVerdict::Newer);
+/// assert_eq!(tracker.observe(Some(2)), EraVerdict::Older);
+/// assert_eq!(tracker.era(), 3);
 /// ```
 #[derive(Debug, Default)]
 pub struct EraTracker {
@@ -28,22 +28,22 @@
 }
 
 impl EraTracker {
-    /// The newest era; zero if the store does not tell it.
+    /// The newest era; zero if the store has not stated one.
     pub fn era(&self) -> u64 {
         self.newest.unwrap_or_default()
     }
 
-    /// Judges an answer by the era that it tells, and remembers a newer one.
-    pub fn observe(&mut self, told: Option<u64>) -> EraVerdict {
-        let verdict = match (told, self.newest) {
+    /// Compares the era that an answer states with the newest one, and records it if it is newer.
+    pub fn observe(&mut self, stated: Option<u64>) -> EraVerdict {
+        let verdict = match (stated, self.newest) {
             (None, None) => EraVerdict::Same,
             (None, Some(_)) => EraVerdict::Missing,
-            (Some(told), Some(newest)) if told < newest => EraVerdict::Older,
-            (Some(told), Some(newest)) if told == newest => EraVerdict::Same,
+            (Some(stated), Some(newest)) if stated < newest => EraVerdict::Older,
+            (Some(stated), Some(newest)) if stated == newest => EraVerdict::Same,
             (Some(_), _) => EraVerdict::Newer,
         };
         if verdict == EraVerdict::Newer {
-            self.newest = told;
+            self.newest = stated;
         }
         verdict
     }
--- a/crates/hollyhook_core/src/feed/feed_log.rs
+++ b/crates/hollyhook_core/src/feed/feed_log.rs
@@ -3,94 +3,104 @@
 use super::StoreRevision;
 use crate::{Name, TimePoint};
 
-/// Changes that are kept for those who ask from an earlier revision; at 280 endpoints that change every second or so,
-/// about ten seconds of them. Whoever asks from before gets everything.
-const KEPT_CHANGES: usize = 2_048;
-/// Objects up to which any host tells everything at once.
-const LEAST_TOLD: usize = 1_000;
-/// What an object takes in a message, in bytes.
+/// Most changes that are kept for peers that ask from an earlier revision: about ten seconds of history at 280
+/// endpoints that change about once a second. A peer that asks from before these changes gets a snapshot.
+const MAX_CHANGES: usize = 2_048;
+/// Snapshot size, in objects, that every host sends, however slow its link.
+const MIN_SNAPSHOT_LIMIT: usize = 1_000;
+/// Size of an object in a message, in bytes.
 const OBJECT_BYTES: u64 = 250;
-/// Hosts that may ask for everything at the same moment, as after a loss of power of a zone.
-const ASKING_AT_ONCE: u64 = 24;
-/// Within that time all of them are to have it.
-const TELLING_S: u64 = 2;
+/// Hosts that may ask for a snapshot at the same moment, for example after a zone lost power.
+const CONCURRENT_SNAPSHOTS: u64 = 24;
+/// Time, in seconds, within which all of these hosts must have received the snapshot.
+const SNAPSHOT_TIME_S: u64 = 2;
 const BYTES_PER_MBIT: u64 = 125_000;
 
-/// Objects up to which a host tells everything at once whose link carries `link_mbps` Mbit/s.
+/// Most objects that a host with a link of `link_mbps` Mbit/s sends in one snapshot.
 ///
-/// What a host can't tell in time, others read in the store and come back with a later revision.
+/// Peers read larger snapshots from the store, and then ask again from the revision that they read.
 pub fn snapshot_limit(link_mbps: u32) -> usize {
-    let bytes = u64::from(link_mbps) * BYTES_PER_MBIT * TELLING_S;
-    ((bytes / ASKING_AT_ONCE / OBJECT_BYTES) as usize).max(LEAST_TOLD)
+    let bytes = u64::from(link_mbps) * BYTES_PER_MBIT * SNAPSHOT_TIME_S;
+    ((bytes / CONCURRENT_SNAPSHOTS / OBJECT_BYTES) as usize).max(MIN_SNAPSHOT_LIMIT)
 }
 
-/// Lists of everything between which changes are kept.
-const KEPT_GAPS: usize = 32;
+/// Most gaps in the history that are remembered; each is left by a snapshot that arrived after earlier updates.
+const MAX_GAPS: usize = 32;
 
-/// Hosts that may have told on what a host tells on itself: a leader tells relays, and these the others. The count grows
-/// with each host, so that hosts which ask each other in a circle soon refuse, and notice that the store is away.
-const MOST_HOPS: u32 = 1;
+/// Most hosts that may have passed an update on before this host passes it on too: a leader updates relays, and relays
+/// update followers. Each host increments the count, so that hosts that ask each other in a circle soon refuse, and
+/// notice that the store is away.
+const MAX_HOPS: u32 = 1;
 
 /// A change of one object.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FeedChange<T> {
     /// The object's name.
     pub name: Name,
-    /// The object after the change; none if it is gone.
+    /// The object after the change; `None` if it was removed.
     pub object: Option<T>,
 }
 
-/// What a follower is told.
+/// A snapshot of all objects of one kind, or the changes to them since a revision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FeedUpdate<T> {
-    /// Whether these are all objects that there are, rather than what changed.
+    /// Whether `changes` lists all objects that exist, rather than what changed.
     pub is_snapshot: bool,
-    /// The objects, or the changes in order.
+    /// The objects of a snapshot, or the changes in order.
     pub changes: Vec<FeedChange<T>>,
-    /// The store's revision up to which they go.
+    /// The store's revision up to which the update is complete.
     pub revision: StoreRevision,
-    /// Until when it is known that nothing else changed.
+    /// Time until which the store is known to hold no change beyond this update.
     pub confirmed_until: TimePoint,
-    /// From when on entries that lapsed while the store was away have their time to come back.
+    /// Start of the grace period in which entries that lapsed while the store was away may be registered again.
     pub grace_start: Option<TimePoint>,
-    /// Hosts that told it on; zero if the store itself said it.
+    /// Hosts that passed the update on; zero if it comes from the store.
     pub hops: u32,
 }
 
 impl<T> FeedUpdate<T> {
-    /// Whether they only say that nothing changed.
+    /// Whether the update states only that nothing changed.
     pub fn is_empty(&self) -> bool {
         !self.is_snapshot && self.changes.is_empty()
     }
 }
 
-/// What a host knows of one kind of object, kept to tell others of it.
+/// A host's copy of all objects of one kind, with recent changes, from which it updates other hosts.
 ///
 /// ```
-/// use hollyhook_core::{FeedChange, FeedLog, FeedNews, StoreRevision, TimePoint};
+/// use hollyhook_core::{FeedChange, FeedLog, FeedUpdate, StoreRevision, TimePoint};
 ///
 /// let (at, revision) = (TimePoint::from_millis(10), StoreRevision::new(1, 7));
 /// let object = FeedChange { name: "a".into(), object: Some(1) };
-/// let whole = FeedNews { is_whole: true, changes: vec![object], revision, heard_until: at, back_at: None, hops: 0 };
+/// let snapshot = FeedUpdate {
+///     is_snapshot: true,
+///     changes: vec![object],
+///     revision,
+///     confirmed_until: at,
+///     grace_start: None,
+///     hops: 0,
+/// };
 /// let mut log = FeedLog::default();
-/// log.apply(&whole);
+/// log.apply(&snapshot);
 /// assert_eq!(log.update_after(Some(revision)).unwrap().changes, []);
-/// assert!(log.update_after(None).unwrap().is_whole);
+/// assert!(log.update_after(None).unwrap().is_snapshot);
 /// ```
 #[derive(Debug)]
 pub struct FeedLog<T> {
     objects: BTreeMap<Name, T>,
     changes: VecDeque<(StoreRevision, FeedChange<T>)>,
-    /// The revision from which on all changes are kept.
+    /// The revision after which all changes are kept.
     kept_from: StoreRevision,
     revision: StoreRevision,
-    /// The spans of the store's history that this host never saw: from what it knew to a list of everything, oldest first.
+    /// Revision ranges whose changes this host never received, oldest first. Each begins at the last known revision and
+    /// ends at that of the next snapshot.
     gaps: VecDeque<(StoreRevision, StoreRevision)>,
     confirmed_until: TimePoint,
     grace_start: Option<TimePoint>,
-    /// Hosts that told on what is known.
+    /// Hosts that passed on the last update.
     hops: u32,
-    is_known: bool,
+    /// Whether a first snapshot was applied.
+    has_snapshot: bool,
     snapshot_limit: usize,
 }
 
@@ -105,71 +115,77 @@
             confirmed_until: TimePoint::ZERO,
             grace_start: None,
             hops: 0,
-            is_known: false,
-            snapshot_limit: LEAST_TOLD,
+            has_snapshot: false,
+            snapshot_limit: MIN_SNAPSHOT_LIMIT,
         }
     }
 }
 
 impl<T: Clone + PartialEq> FeedLog<T> {
-    /// The same log that tells up to so many objects at once.
+    /// Sets the largest snapshot, in objects, that the log sends.
     #[must_use]
     pub fn snapshot_limit(mut self, objects: usize) -> Self {
         self.snapshot_limit = objects;
         self
     }
 
-    /// Takes news in.
-    pub fn apply(&mut self, news: &FeedUpdate<T>) {
-        // What a store said before it came back from an older copy replaces nothing of what it says since.
-        if news.revision.era < self.revision.era {
+    /// Applies an update from the store or from another host.
+    pub fn apply(&mut self, update: &FeedUpdate<T>) {
+        // An update from before the store was restored must not replace anything that the store stated since.
+        if update.revision.era < self.revision.era {
             return;
         }
-        self.hops = news.hops;
-        self.confirmed_until = self.confirmed_until.max(news.confirmed_until);
-        self.grace_start = self.grace_start.max(news.grace_start);
-        let is_of_other_store = news.revision.era == self.revision.era && news.revision < self.revision;
-        if news.is_snapshot && (!self.is_known || is_of_other_store) {
-            // The first that is known, or of another store, whose revisions mean something else.
+        self.hops = update.hops;
+        self.confirmed_until = self.confirmed_until.max(update.confirmed_until);
+        self.grace_start = self.grace_start.max(update.grace_start);
+        let is_of_other_store = update.revision.era == self.revision.era && update.revision < self.revision;
+        if update.is_snapshot && (!self.has_snapshot || is_of_other_store) {
+            // The first snapshot, or one of another store, whose revisions are not comparable with those known.
             let fresh = Self::default().snapshot_limit(self.snapshot_limit);
-            *self = Self { hops: news.hops, grace_start: self.grace_start, confirmed_until: self.confirmed_until, ..fresh };
-            self.is_known = true;
-            self.kept_from = news.revision;
-            self.objects = news.changes.iter().filter_map(known_object).collect();
-        } else if news.is_snapshot {
-            // Only what differs is told on: a leader that reads everything again must not make its followers do so.
-            for change in self.differences(news) {
-                self.apply_change(news.revision, change);
+            *self = Self {
+                hops: update.hops,
+                grace_start: self.grace_start,
+                confirmed_until: self.confirmed_until,
+                ..fresh
+            };
+            self.has_snapshot = true;
+            self.kept_from = update.revision;
+            self.objects = update.changes.iter().filter_map(present_object).collect();
+        } else if update.is_snapshot {
+            // Only differences are passed on: a leader that lists all objects again must not make its followers do so.
+            for change in self.differences(update) {
+                self.apply_change(update.revision, change);
             }
         } else {
-            for change in &news.changes {
-                self.apply_change(news.revision, change.clone());
+            for change in &update.changes {
+                self.apply_change(update.revision, change.clone());
             }
         }
-        if news.is_snapshot && news.revision > self.revision {
-            self.gaps.push_back((self.revision, news.revision));
+        if update.is_snapshot && update.revision > self.revision {
+            self.gaps.push_back((self.revision, update.revision));
         }
-        self.revision = self.revision.max(news.revision);
-        while self.changes.len() > KEPT_CHANGES {
+        self.revision = self.revision.max(update.revision);
+        while self.changes.len() > MAX_CHANGES {
             if let Some((revision, _)) = self.changes.pop_front() {
-                // Others of the same revision may still stand; all of it counts as forgotten.
+                // Other changes of this revision may still be kept; the whole revision counts as dropped.
                 self.kept_from = self.kept_from.max(revision);
             }
         }
-        while self.gaps.len() > KEPT_GAPS || self.gaps.front().is_some_and(|(_, end)| *end <= self.kept_from) {
+        while self.gaps.len() > MAX_GAPS || self.gaps.front().is_some_and(|(_, end)| *end <= self.kept_from) {
             if let Some((_, end)) = self.gaps.pop_front() {
                 self.kept_from = self.kept_from.max(end);
             }
         }
     }
 
-    /// Whether what changed since a revision is known.
+    /// Whether all changes after a revision are known.
     ///
-    /// Not in a span that this host never saw. Who is there, told by another host, may have objects that came and went within it,
-    /// and, where the store came back from an older copy, changes that are undone now.
+    /// They are not for a revision inside a gap. A peer at such a revision, updated by another host, may have objects
+    /// that were created and removed within the gap and, if the store was restored from an older copy, changes that
+    /// were lost.
     fn is_known_from(&self, revision: StoreRevision) -> bool {
-        let is_unseen = |(begin, end): &(StoreRevision, StoreRevision)| *begin < revision && revision < *end;
-        revision >= self.kept_from && !self.gaps.iter().any(is_unseen)
+        let is_in_gap = |(begin, end): &(StoreRevision, StoreRevision)| *begin < revision && revision < *end;
+        revision >= self.kept_from && !self.gaps.iter().any(is_in_gap)
     }
 
     fn apply_change(&mut self, revision: StoreRevision, change: FeedChange<T>) {
@@ -180,22 +196,22 @@
         self.changes.push_back((revision, change));
     }
 
-    /// What a list of everything changes.
-    fn differences(&self, whole: &FeedUpdate<T>) -> Vec<FeedChange<T>> {
+    /// The changes that turn the current objects into those of a snapshot.
+    fn differences(&self, snapshot: &FeedUpdate<T>) -> Vec<FeedChange<T>> {
         let listed: BTreeMap<&Name, &FeedChange<T>> =
-            whole.changes.iter().map(|change| (&change.name, change)).collect();
-        let gone = self.objects.keys().filter(|name| !listed.contains_key(name));
-        let gone = gone.map(|name| FeedChange { name: Name::clone(name), object: None });
+            snapshot.changes.iter().map(|change| (&change.name, change)).collect();
+        let removed = self.objects.keys().filter(|name| !listed.contains_key(name));
+        let removed = removed.map(|name| FeedChange { name: Name::clone(name), object: None });
         let differs = |change: &&FeedChange<T>| self.objects.get(&change.name) != change.object.as_ref();
-        gone.chain(whole.changes.iter().filter(differs).cloned()).collect()
+        removed.chain(snapshot.changes.iter().filter(differs).cloned()).collect()
     }
 
-    /// What changed after a revision, or everything where that is not known.
+    /// The changes after a revision, or a snapshot if no revision is given or not all changes after it are known.
     ///
-    /// None if this host may not tell, because too many others told it on, or if everything is too much, or if who asks knows a
-    /// newer era of the store.
+    /// `None` if this host must not pass its copy on: it has none yet, the copy passed through too many hosts, the
+    /// snapshot would be too large, or the asking host knows a newer era of the store.
     pub fn update_after(&self, revision: Option<StoreRevision>) -> Option<FeedUpdate<T>> {
-        if !self.is_known || self.hops > MOST_HOPS {
+        if !self.has_snapshot || self.hops > MAX_HOPS {
             return None;
         }
         if revision.is_some_and(|revision| revision.era > self.revision.era) {
@@ -210,7 +226,7 @@
                 let later = self.changes.iter().filter(|(revision, _)| *revision > known);
                 later.map(|(_, change)| change.clone()).collect()
             }
-            None => self.objects.iter().map(whole_change).collect(),
+            None => self.objects.iter().map(snapshot_entry).collect(),
         };
         Some(FeedUpdate {
             is_snapshot: known.is_none(),
@@ -223,10 +239,10 @@
     }
 }
 
-fn known_object<T: Clone>(change: &FeedChange<T>) -> Option<(Name, T)> {
+fn present_object<T: Clone>(change: &FeedChange<T>) -> Option<(Name, T)> {
     change.object.clone().map(|object| (Name::clone(&change.name), object))
 }
 
-fn whole_change<T: Clone>((name, object): (&Name, &T)) -> FeedChange<T> {
+fn snapshot_entry<T: Clone>((name, object): (&Name, &T)) -> FeedChange<T> {
     FeedChange { name: Name::clone(name), object: Some(object.clone()) }
 }
--- a/crates/hollyhook_core/src/feed/feed_topology.rs
+++ b/crates/hollyhook_core/src/feed/feed_topology.rs
@@ -6,73 +6,73 @@
 use crate::route::weight;
 use crate::{Name, TimePoint, ZoneName};
 
-/// Hosts of a zone from which on they share what they read. Below, as at the sites of 7 or 8 hosts, a call to the store
-/// costs little against one more thing that can fail.
-const SHARED_FROM: usize = 6;
-/// Hosts of a zone that know what the store holds before the others: one reads it, and one that asks that one first and reads the
-/// store itself when it is lost. Two that read it would cost twice as many calls, for a second or so less in a loss.
+/// Fewest hosts of a zone that share what they read from the store. In smaller zones, as at sites of 7 or 8 hosts, the
+/// calls that sharing saves are not worth another thing that can fail.
+const MIN_SHARING_HOSTS: usize = 6;
+/// Hosts of a zone that receive changes first: the reader, and a standby that asks the reader and reads the store
+/// itself when the reader is lost. Two readers would double the calls, and recover from a loss only about a second
+/// sooner.
 const LEADERS: usize = 2;
-/// Hosts of a zone that leaders tell by themselves. Many more would take the whole link of a small host (10 Mbit/s), and
-/// versions would come late.
-const TOLD_BY_LEADERS: usize = 24;
-/// Hosts for each relay in a larger zone, itself among them. Leaders then tell two or three relays each in a zone of 50
-/// hosts, and ten in one of 200.
-const HOSTS_EACH: usize = 9;
-/// Hosts that are asked before the store. Each may take 0.85 s to be found silent; see [`FeedTiming`](super::FeedTiming).
-const MOST_ASKED: usize = 2;
-/// Hosts of the own zone, and of all others, that are asked when the store gives no answer. In a whole outage all of them
-/// answer that they know nothing new, and the next time others are asked.
-const HELPERS_EACH: usize = 1;
-/// How long a host that did not answer is passed over; it may be cut off, stopped or gone for good.
-const PASSED_OVER: Duration = Duration::from_secs(8);
-
-/// Why a host is passed over.
+/// Most hosts of a zone that the leaders update without relays. Many more would saturate the link of a small host
+/// (10 Mbit/s), and updates would arrive late.
+const MAX_LEADER_FOLLOWERS: usize = 24;
+/// Hosts per relay in a larger zone, the relay included. A zone of 50 hosts then has 6 relays, and one of 200 has 22.
+const HOSTS_PER_RELAY: usize = 9;
+/// Most hosts that are asked before the store. Each may take 0.85 s to time out; see [`FeedTiming`](super::FeedTiming).
+const MAX_SOURCES: usize = 2;
+/// Helpers from this host's zone, and from all other zones together, that are asked when the store does not answer. In
+/// a full outage all of them answer that they have nothing newer, and other hosts are asked the next time.
+const HELPERS_PER_GROUP: usize = 1;
+/// How long a host whose answer was of no use is skipped; it may be cut off, stopped or removed.
+const SKIP_TIME: Duration = Duration::from_secs(8);
+
+/// Why a host is skipped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SkipReason {
-    /// It gave no answer that can be used.
+    /// The host did not answer, or its answer could not be used.
     Failed,
-    /// It says that it knows nothing new, or may not tell.
+    /// The host has nothing newer, or must not pass its copy on.
     Stale,
 }
 
-/// A host that may be asked.
+/// A registered host that other hosts may ask for updates.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostRecord {
-    /// Its name.
+    /// The host's name.
     pub host: Name,
-    /// Its availability zone.
+    /// The host's availability zone.
     pub zone: ZoneName,
-    /// Where it answers other hosts.
+    /// The address on which the host answers other hosts.
     pub address: SocketAddr,
-    /// What its network link carries, in Mbit/s; zero if it does not say.
+    /// The capacity of the host's network link, in Mbit/s; zero if not stated.
     pub link_mbps: u32,
 }
 
 impl HostRecord {
-    /// How near it is to being asked by a host, among all that could be; the least is asked first.
+    /// The rendezvous distance of this host from an asking host, which asks the source at the least distance first.
     ///
-    /// Weighted rendezvous hashing: of all hosts, each is asked by a part that is as large as its link.
+    /// The hash is weighted by link capacity: each source is asked by a share of the hosts in proportion to its link.
     fn distance(&self, asking: &Name) -> f64 {
         let fraction = (weight(asking.as_bytes(), &self.host) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
         -fraction.ln() / f64::from(self.link_mbps.max(1))
     }
 }
 
-/// From whom a host learns what the store holds.
+/// Where a host gets the contents of the store, and whether it passes them on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FeedPlan {
-    /// From the store, and it tells others.
+    /// Reads the store and updates other hosts.
     Lead,
-    /// From one of these, best first, and from the store if none answers; and it tells others.
+    /// Asks these hosts, best first, and the store if none answers; updates other hosts.
     Relay(Vec<HostRecord>),
-    /// From one of these, best first, and from the store if none answers.
+    /// Asks these hosts, best first, and the store if none answers.
     Follow(Vec<HostRecord>),
-    /// From the store, for itself.
+    /// Reads the store for itself only.
     Alone,
 }
 
 impl FeedPlan {
-    /// The hosts to learn from before the store is asked.
+    /// The hosts to ask before the store, best first.
     pub fn sources(&self) -> &[HostRecord] {
         match self {
             Self::Relay(sources) | Self::Follow(sources) => sources,
@@ -83,109 +83,111 @@
 
 /// The hosts of a zone, and which of them read the store for the others.
 ///
-/// The first in an order read it, in larger zones the next are relays, and the others follow these. So a zone costs the store
-/// the same whatever its size, and no host tells more than a dozen or two. Hosts with larger links come first in the order,
-/// and carry more.
+/// In a fixed order of the hosts, the first are leaders, the next are relays in larger zones, and the rest follow. The
+/// load of a zone on the store is therefore independent of its size, and no host updates more than about two dozen
+/// others. Hosts with faster links come first in the order and update more hosts.
 ///
-/// The order is the same on every host that knows the same members (rendezvous by their names), so nobody is elected: a host
-/// whose view differs reads the store although it need not, or asks one that refuses and goes on to the next.
+/// All hosts that know the same hosts compute the same order (rendezvous hashing of names), so that no election is
+/// needed. A host with a different view reads the store needlessly, or asks a host that refuses and then asks the next.
 #[derive(Debug)]
 pub struct FeedTopology {
     host: Name,
     zone: ZoneName,
-    members: Vec<HostRecord>,
+    /// The hosts of this host's zone, in order of precedence.
+    zone_hosts: Vec<HostRecord>,
     /// The hosts of other zones.
-    others: Vec<HostRecord>,
-    passed_over: BTreeMap<Name, PassedOver>,
-    /// Until when hosts are not asked for help that knew nothing newer than this one.
-    unhelpful: BTreeMap<Name, TimePoint>,
+    remote_hosts: Vec<HostRecord>,
+    skipped: BTreeMap<Name, SkippedHost>,
+    /// Hosts that had nothing newer than this one, and until when they are not asked as helpers.
+    stale_helpers: BTreeMap<Name, TimePoint>,
 }
 
-/// Until when, and why, a host is passed over.
+/// Until when and why a host is skipped.
 #[derive(Debug, Clone, Copy)]
-struct PassedOver {
+struct SkippedHost {
     until: TimePoint,
     reason: SkipReason,
 }
 
 impl FeedTopology {
-    /// A roster for a host that knows no other yet.
+    /// A topology in which no hosts are known yet.
     pub fn new(host: Name, zone: ZoneName) -> Self {
         Self {
             host,
             zone,
-            members: Vec::new(),
-            others: Vec::new(),
-            passed_over: BTreeMap::new(),
-            unhelpful: BTreeMap::new(),
+            zone_hosts: Vec::new(),
+            remote_hosts: Vec::new(),
+            skipped: BTreeMap::new(),
+            stale_helpers: BTreeMap::new(),
         }
     }
 
-    /// Takes in all hosts that are registered.
-    pub fn set_hosts(&mut self, members: Vec<HostRecord>) {
-        let (mut own, mut others): (Vec<_>, Vec<_>) = members.into_iter().partition(|member| member.zone == self.zone);
-        let rank = |member: &HostRecord| (member.link_mbps, weight(self.zone.as_bytes(), &member.host));
-        own.sort_by_cached_key(|member| Reverse(rank(member)));
-        others.sort_by_cached_key(|member| Reverse(weight(self.host.as_bytes(), &member.host)));
-        self.members = own;
-        self.others = others;
+    /// Replaces the registered hosts of all zones.
+    pub fn set_hosts(&mut self, hosts: Vec<HostRecord>) {
+        let (mut own, mut remote): (Vec<_>, Vec<_>) = hosts.into_iter().partition(|record| record.zone == self.zone);
+        let rank = |record: &HostRecord| (record.link_mbps, weight(self.zone.as_bytes(), &record.host));
+        own.sort_by_cached_key(|record| Reverse(rank(record)));
+        remote.sort_by_cached_key(|record| Reverse(weight(self.host.as_bytes(), &record.host)));
+        self.zone_hosts = own;
+        self.remote_hosts = remote;
     }
 
-    /// The hosts that are registered, this one among them; zero before they are listed.
+    /// The number of registered hosts, this host included; zero before they are known.
     pub fn host_count(&self) -> usize {
-        self.members.len() + self.others.len()
+        self.zone_hosts.len() + self.remote_hosts.len()
     }
 
-    /// Whom to ask when the store gives no answer, best first: a host of the own zone, which is also in reach when zones are
-    /// cut from each other, and one of another zone.
+    /// The hosts to ask when the store does not answer, best first: one in this host's zone, which stays reachable when
+    /// zones are partitioned, and one in another zone.
     ///
-    /// Answers a store that turns some hosts away and serves the others: those would have to refuse their callers as soon
-    /// as they can't be certain of keys any more.
+    /// Helpers cover a store that rejects the calls of some hosts and serves the others: without them, the rejected
+    /// hosts would have to refuse callers as soon as API keys can no longer be confirmed.
     pub fn helpers(&self, now: TimePoint) -> Vec<HostRecord> {
-        let is_helpful = |member: &HostRecord| self.unhelpful.get(&member.host).is_none_or(|until| now >= *until);
-        let is_usable = |member: &&HostRecord| {
-            member.host != self.host && !self.is_passed_over(now, &member.host) && is_helpful(member)
+        let is_helpful = |record: &HostRecord| self.stale_helpers.get(&record.host).is_none_or(|until| now >= *until);
+        let is_usable = |record: &&HostRecord| {
+            record.host != self.host && !self.is_skipped(now, &record.host) && is_helpful(record)
         };
-        let near = self.members.iter().filter(is_usable).take(HELPERS_EACH);
-        let far = self.others.iter().filter(is_usable).take(HELPERS_EACH);
+        let near = self.zone_hosts.iter().filter(is_usable).take(HELPERS_PER_GROUP);
+        let far = self.remote_hosts.iter().filter(is_usable).take(HELPERS_PER_GROUP);
         near.chain(far).cloned().collect()
     }
 
-    fn is_passed_over(&self, now: TimePoint, host: &Name) -> bool {
-        self.passed_over.get(host).is_some_and(|passed| now < passed.until)
+    fn is_skipped(&self, now: TimePoint, host: &Name) -> bool {
+        self.skipped.get(host).is_some_and(|skipped| now < skipped.until)
     }
 
-    /// Notes that a host to learn from was of no use.
+    /// Skips a host, as a source and as a helper, whose answer as a source was of no use.
     pub fn skip_source(&mut self, now: TimePoint, host: &Name, reason: SkipReason) {
-        self.passed_over.insert(Name::clone(host), PassedOver { until: now + PASSED_OVER, reason });
+        self.skipped.insert(Name::clone(host), SkippedHost { until: now + SKIP_TIME, reason });
     }
 
-    /// Notes that a host was of no use that was asked for help.
+    /// Skips a host whose answer as a helper was of no use: as a helper only if its copy was stale, otherwise entirely.
     pub fn skip_helper(&mut self, now: TimePoint, host: &Name, reason: SkipReason) {
         match reason {
             SkipReason::Failed => self.skip_source(now, host, reason),
             SkipReason::Stale => {
-                self.unhelpful.insert(Name::clone(host), now + PASSED_OVER);
+                self.stale_helpers.insert(Name::clone(host), now + SKIP_TIME);
             }
         }
     }
 
-    /// Notes that the store gives this host no answer either: who knew nothing new is not to blame, and is asked again.
+    /// Makes stale hosts usable as sources again, because the store does not answer this host either and they are not
+    /// at fault. As helpers they stay skipped.
     ///
-    /// Otherwise, in an outage, each host would soon pass all others over and take itself for a leader, and go on to read for
-    /// itself for as long after it.
+    /// Otherwise each host would, in an outage, soon skip all others, become the reader by its own plan, and read the
+    /// store for itself until `SKIP_TIME` after the outage.
     pub fn restore_stale_sources(&mut self) {
-        let outdated = self.passed_over.extract_if(.., |_, passed| passed.reason == SkipReason::Stale);
-        self.unhelpful.extend(outdated.map(|(host, passed)| (host, passed.until)));
+        let stale = self.skipped.extract_if(.., |_, skipped| skipped.reason == SkipReason::Stale);
+        self.stale_helpers.extend(stale.map(|(host, skipped)| (host, skipped.until)));
     }
 
-    /// From whom this host learns now.
+    /// Where this host gets the contents of the store at `now`.
     pub fn plan(&self, now: TimePoint) -> FeedPlan {
-        let is_known = self.members.iter().any(|member| member.host == self.host);
-        if !is_known || self.members.len() < SHARED_FROM {
+        let is_known = self.zone_hosts.iter().any(|record| record.host == self.host);
+        if !is_known || self.zone_hosts.len() < MIN_SHARING_HOSTS {
             return FeedPlan::Alone;
         }
-        let usable = self.members.iter().filter(|member| !self.is_passed_over(now, &member.host));
+        let usable = self.zone_hosts.iter().filter(|record| !self.is_skipped(now, &record.host));
         let usable: Vec<&HostRecord> = usable.collect();
         let (leaders, others) = usable.split_at(LEADERS.min(usable.len()));
         let (relays, _) = others.split_at(self.relay_count().min(others.len()));
@@ -195,33 +197,33 @@
         } else if self.is_among(standby) {
             FeedPlan::Relay(reader.iter().copied().cloned().collect())
         } else if self.is_among(relays) {
-            // What a standby was told has passed too many hosts for a relay to tell it on.
+            // The reader comes first: a relay must not pass on what the standby got from the reader, for its hop count.
             FeedPlan::Relay(leaders.iter().copied().cloned().collect())
         } else {
             FeedPlan::Follow(self.sources_of(if relays.is_empty() { leaders } else { relays }))
         }
     }
 
-    /// Whether the zone is so large that leaders can't tell everyone.
+    /// Whether the zone is so large that the leaders update relays, and these the other hosts.
     pub fn has_relays(&self) -> bool {
         self.relay_count() > 0
     }
 
-    /// Relays of the zone; none where leaders can tell everyone.
+    /// The number of relays in the zone; zero where the leaders update all hosts.
     fn relay_count(&self) -> usize {
-        let told = self.members.len().saturating_sub(LEADERS);
-        if told <= TOLD_BY_LEADERS { 0 } else { told.div_ceil(HOSTS_EACH) }
+        let followers = self.zone_hosts.len().saturating_sub(LEADERS);
+        if followers <= MAX_LEADER_FOLLOWERS { 0 } else { followers.div_ceil(HOSTS_PER_RELAY) }
     }
 
-    fn is_among(&self, members: &[&HostRecord]) -> bool {
-        members.iter().any(|member| member.host == self.host)
+    fn is_among(&self, records: &[&HostRecord]) -> bool {
+        records.iter().any(|record| record.host == self.host)
     }
 
-    /// Whom this host asks of those; all hosts together part between them as their links are.
-    fn sources_of(&self, members: &[&HostRecord]) -> Vec<HostRecord> {
-        let mut sources: Vec<HostRecord> = members.iter().copied().cloned().collect();
+    /// The candidates that this host asks, best first; over all hosts, each is asked in proportion to its link.
+    fn sources_of(&self, candidates: &[&HostRecord]) -> Vec<HostRecord> {
+        let mut sources: Vec<HostRecord> = candidates.iter().copied().cloned().collect();
         sources.sort_by(|a, b| a.distance(&self.host).total_cmp(&b.distance(&self.host)));
-        sources.truncate(MOST_ASKED);
+        sources.truncate(MAX_SOURCES);
         sources
     }
 }
--- a/crates/hollyhook_core/src/feed/mod.rs
+++ b/crates/hollyhook_core/src/feed/mod.rs
@@ -1,15 +1,16 @@
-//! Reading the platform's store and sharing what was read: how long calls may take, who reads, who is told, and what.
+//! Reading the platform's store and sharing its contents among hosts: call timeouts, which hosts read the store, which
+//! hosts they update, and the updates themselves.
 
 mod era_tracker;
 mod feed_log;
-mod feed_topology;
 mod feed_timing;
+mod feed_topology;
 mod store_contact;
 mod store_revision;
 
 pub use era_tracker::{EraTracker, EraVerdict};
 pub use feed_log::{FeedChange, FeedLog, FeedUpdate, snapshot_limit};
-pub use feed_topology::{FeedPlan, FeedTopology, SkipReason, HostRecord};
 pub use feed_timing::{FeedTiming, is_helper_stale};
+pub use feed_topology::{FeedPlan, FeedTopology, HostRecord, SkipReason};
 pub use store_contact::StoreContact;
 pub use store_revision::StoreRevision;
--- a/crates/hollyhook_core/src/feed/store_revision.rs
+++ b/crates/hollyhook_core/src/feed/store_revision.rs
@@ -1,7 +1,7 @@
-/// A moment in the history of the platform's store.
+/// A point in the history of the platform's store.
 ///
-/// A store may come back from an older copy of itself. Its revisions then go back and are given out again, and its era
-/// rises. So eras go before revisions, and nothing is ordered by a revision alone.
+/// When the store is restored from an older copy of itself, its revisions go back and are assigned again, and its era
+/// rises. Eras are therefore compared before revisions, and a revision alone orders nothing.
 ///
 /// ```
 /// use hollyhook_core::StoreRevision;
@@ -10,14 +10,14 @@
 /// ```
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreRevision {
-    /// How often the store came back, as it tells it; zero where it does not.
+    /// The store's count of its restores; zero if the store does not state one.
     pub era: u64,
-    /// Its count of changes.
+    /// The store's count of changes.
     pub number: u64,
 }
 
 impl StoreRevision {
-    /// The moment of a revision in an era.
+    /// The point at revision `number` of an era.
     pub const fn new(era: u64, number: u64) -> Self {
         Self { era, number }
     }
--- a/crates/hollyhook_core/src/forward/answer_verdict.rs
+++ b/crates/hollyhook_core/src/forward/answer_verdict.rs
@@ -1,73 +1,76 @@
 use crate::{EndpointId, LoadReport, Name, RequestKind, AdvertisedTerms};
 
-/// What hollyhook reads of an endpoint's answer head.
+/// The parts of an endpoint's HTTP answer head that hollyhook evaluates.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AnswerHead {
     /// The HTTP status.
     pub status: u16,
-    /// The id of the request that it answers, as the endpoint echoed it.
+    /// The id of the answered request, as the endpoint echoed it.
     pub attempt_id: Option<Name>,
-    /// The incarnation that answers, if it says so.
+    /// The endpoint incarnation that answers, if stated.
     pub endpoint: Option<EndpointId>,
-    /// The version of the weights that a generation comes from.
+    /// The version of the weights that the generation comes from, if stated.
     pub weights: Option<u64>,
-    /// Whether the endpoint signed it.
+    /// Whether the endpoint signed the answer.
     pub is_signed: bool,
-    /// Whether the endpoint says that it has not run the request and never will.
+    /// Whether the endpoint states that it has not run the request and never will.
     pub is_not_run: bool,
-    /// Whether the body is encoded; callers ask for none, so it can't be the endpoint's own body.
+    /// Whether the body has a content encoding; callers request none, so that the body can't be the endpoint's own.
     pub is_encoded: bool,
-    /// The load that the endpoint reports.
+    /// The load that the endpoint reports, if any.
     pub load: Option<LoadReport>,
-    /// The terms on which the endpoint takes requests.
+    /// The terms on which the endpoint takes requests, as advertised in the answer.
     pub terms: AdvertisedTerms,
 }
 
 impl AnswerHead {
-    /// Whether the endpoint that was meant answers, as far as the answer says, rather than another one at its address.
+    /// Whether the answer comes from the addressed incarnation rather than another at the same address.
+    ///
+    /// An answer that names no incarnation counts as one of the addressed incarnation, unless its status is 421
+    /// (Misdirected Request).
     pub fn is_from(&self, endpoint: &str) -> bool {
         self.endpoint.as_deref().map_or(self.status != MISDIRECTED, |answering| answering == endpoint)
     }
 }
 
-/// Why an attempt is of no use to the caller.
+/// Why an attempt gave no answer that can be passed on to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum AttemptFailure {
     /// No connection could be made; nothing was sent.
     NotConnected,
-    /// The endpoint said that it did not run the request, or that another one has its address.
+    /// The endpoint stated that it did not run the request, or itself answered status 421 (Misdirected Request).
     Rejected,
-    /// Another incarnation has the address; nothing ran.
+    /// Another incarnation answers at the address; the request did not run.
     WrongIncarnation,
-    /// The connection broke before the answer was whole.
+    /// The connection broke before the answer was complete.
     Broken,
-    /// Nothing came for too long.
+    /// The endpoint sent nothing for too long.
     Silent,
-    /// The caller's or the route's time was up; nothing speaks against the endpoint.
+    /// The deadline of the caller or the route passed; this does not indicate a fault of the endpoint.
     Expired,
-    /// What came can't be the endpoint's answer to this request.
+    /// The received answer can't be the endpoint's answer to this request.
     Garbled,
     /// The endpoint ran the request and failed.
     Failed,
 }
 
 impl AttemptFailure {
-    /// Whether the request certainly did not run.
+    /// Whether the request is certain not to have run.
     pub fn is_not_run(self) -> bool {
         matches!(self, Self::NotConnected | Self::Rejected | Self::WrongIncarnation)
     }
 
-    /// Whether the request may have reached an endpoint, so that sending it again spends of the retry budget.
+    /// Whether the request may have reached an endpoint, so that another attempt is charged to the retry budget.
     pub fn has_arrived(self) -> bool {
         self != Self::NotConnected
     }
 
-    /// Whether it speaks against the endpoint itself, rather than against its load or one answer.
+    /// Whether the failure indicates that the endpoint itself is lost, rather than busy or at fault in one answer.
     pub fn is_loss(self) -> bool {
         matches!(self, Self::NotConnected | Self::Broken | Self::Silent)
     }
 
-    /// A short name for logs and metrics.
+    /// The name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotConnected => "not_connected",
@@ -82,32 +85,32 @@
     }
 }
 
-/// What an answer means.
+/// What to do with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerVerdict {
-    /// The endpoint's answer, to be passed on unchanged.
+    /// Pass the answer on to the caller unchanged.
     Pass,
-    /// Of no use to the caller.
+    /// Count the attempt as failed; the answer is not passed on.
     Fail(AttemptFailure),
-    /// A failure of the endpoint that may be passed on if no other attempt is made.
+    /// Retry after this server error, or pass it on if no other attempt is made.
     PassOrRetry,
 }
 
-/// Statuses by which a server promises that a request has not run.
+/// Statuses that promise that the request did not run.
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 const MISDIRECTED: u16 = 421;
 
-/// Judges an answer's head.
+/// Decides from an answer's head whether the answer is passed on to the caller.
 ///
-/// A status that promises "not run" is passed on from no endpoint: where the endpoint does not state that it did not
-/// run the request, the promise would be false.
+/// A status that promises "not run" is never passed on from an endpoint: unless the endpoint states that it did not run
+/// the request, the promise may be false.
 pub fn judge_answer(kind: RequestKind, attempt_id: &str, endpoint: &str, head: &AnswerHead) -> AnswerVerdict {
     let is_foreign = head.attempt_id.as_deref().is_some_and(|id| id != attempt_id);
     if is_foreign || head.is_encoded {
         return AnswerVerdict::Fail(AttemptFailure::Garbled);
     }
     if head.status == MISDIRECTED {
-        // The incarnation that was meant may turn a request away for its weights; any other has only its address.
+        // The addressed incarnation may reject a request for its weights; any other merely has the same address.
         let failure = if head.is_from(endpoint) { AttemptFailure::Rejected } else { AttemptFailure::WrongIncarnation };
         return AnswerVerdict::Fail(failure);
     }
--- a/crates/hollyhook_core/src/forward/attempt_ledger.rs
+++ b/crates/hollyhook_core/src/forward/attempt_ledger.rs
@@ -6,33 +6,33 @@
 /// Why no further attempt is made for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum StopReason {
-    /// It may have run and may not be repeated.
+    /// The request may have run, and its kind must not be repeated.
     NotRepeatable,
-    /// It may have run at as many endpoints as its route allows.
+    /// The request may have run at as many endpoints as its route allows.
     RunLimit,
-    /// Every endpoint that was asked turned it away.
-    RejectionLimit,
-    /// The caller's or the route's time is up.
+    /// As many attempts as allowed did not run, because endpoints rejected the request or could not be connected to.
+    NotRunLimit,
+    /// The deadline of the caller or the route passed.
     DeadlineExceeded,
-    /// The retry budget of the service is spent.
+    /// The retry budget of the service is exhausted.
     BudgetExhausted,
-    /// No endpoint is left.
+    /// No endpoint is left to try.
     NoEndpoint,
-    /// Every endpoint that is left takes no more requests for now, by its own word.
+    /// Every endpoint that is left has advertised that it takes no more requests for now.
     Throttled,
-    /// Every endpoint that was asked would serve it too late.
+    /// Even the best endpoint would serve the request after the caller's deadline.
     Overloaded,
-    /// It ends the endpoints that run it.
+    /// The request is quarantined, because endpoints crashed while running it.
     Quarantined,
 }
 
 impl StopReason {
-    /// What a person should know.
+    /// The reason, as stated in the error message to the caller.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRepeatable => "the request was sent, may not be repeated, and what became of it is not known",
             Self::RunLimit => "the request was sent to as many endpoints as its route allows",
-            Self::RejectionLimit => "every endpoint that was asked turned the request away",
+            Self::NotRunLimit => "every endpoint that was asked turned the request away",
             Self::DeadlineExceeded => "the caller's time is up",
             Self::BudgetExhausted => "the retry budget of the service is spent",
             Self::NoEndpoint => "no endpoint of the service is left",
@@ -43,71 +43,73 @@
     }
 }
 
-/// The attempts at one request: which may have run, whether another may be made, and what is true at the end.
+/// Counts the failed attempts at one request, and decides whether another may be made and which error the caller gets.
 ///
 /// ```
 /// use hollyhook_core::{AttemptFailure, AttemptLedger, ErrorKind, RequestKind, StopReason};
 /// use std::time::Duration;
 ///
 /// let mut ledger = AttemptLedger::new(RequestKind::NonIdempotent, 1, 3);
-/// ledger.note(AttemptFailure::Rejected);
+/// ledger.record_failure(AttemptFailure::Rejected);
 /// assert_eq!(ledger.stop_reason(Duration::from_secs(1)), None);
-/// ledger.note(AttemptFailure::Broken);
+/// ledger.record_failure(AttemptFailure::Broken);
 /// let reason = ledger.stop_reason(Duration::from_secs(1)).unwrap();
-/// assert_eq!(reason, StopReason::MayNotRepeat);
-/// assert_eq!(ledger.end(reason, 0, Duration::ZERO).kind(), ErrorKind::OutcomeUnknown);
+/// assert_eq!(reason, StopReason::NotRepeatable);
+/// assert_eq!(ledger.final_error(reason, 0, Duration::ZERO).kind(), ErrorKind::OutcomeUnknown);
 /// ```
 #[derive(Debug, Clone)]
 pub struct AttemptLedger {
     kind: RequestKind,
-    most_runs: u32,
-    most_turned_away: u32,
+    max_runs: u32,
+    max_not_run: u32,
     runs: u32,
-    turned_away: u32,
+    not_run: u32,
     misdirected: u32,
 }
 
 impl AttemptLedger {
-    /// A ledger for a request that may run at `most_runs` endpoints and be turned away by `most_turned_away`.
-    pub fn new(kind: RequestKind, most_runs: u32, most_turned_away: u32) -> Self {
-        Self { kind, most_runs, most_turned_away, runs: 0, turned_away: 0, misdirected: 0 }
+    /// A ledger for a request that may run at `max_runs` endpoints, and for up to `max_not_run` attempts that do not
+    /// run.
+    pub fn new(kind: RequestKind, max_runs: u32, max_not_run: u32) -> Self {
+        Self { kind, max_runs, max_not_run, runs: 0, not_run: 0, misdirected: 0 }
     }
 
-    /// A ledger for a request on a route.
-    pub fn for_route(route: &RoutePlan, most_turned_away: u32) -> Self {
-        Self::new(route.kind, route.most_attempts, most_turned_away)
+    /// A ledger for a request on a route, which sets the kind of the request and the limit on runs.
+    pub fn for_route(route: &RoutePlan, max_not_run: u32) -> Self {
+        Self::new(route.kind, route.most_attempts, max_not_run)
     }
 
-    /// Counts an attempt that failed.
+    /// Records a failed attempt.
     ///
-    /// One that met another incarnation does not count as turned away: it tells nothing of the service's load, and the
-    /// endpoint is not chosen again. After an outage of the platform most of what a host knows may be of that kind.
+    /// An attempt that reached another incarnation does not count against `max_not_run`: it indicates nothing about the
+    /// service's load, and the endpoint is not chosen again. After an outage of the platform, most endpoints that a
+    /// host knows may have been replaced by another incarnation.
     pub fn record_failure(&mut self, failure: AttemptFailure) {
         match failure {
             AttemptFailure::WrongIncarnation => self.misdirected += 1,
-            failure if failure.is_not_run() => self.turned_away += 1,
+            failure if failure.is_not_run() => self.not_run += 1,
             _ => self.runs += 1,
         }
     }
 
-    /// Attempts that failed.
+    /// The number of failed attempts.
     pub fn attempts(&self) -> u32 {
-        self.runs + self.turned_away + self.misdirected
+        self.runs + self.not_run + self.misdirected
     }
 
-    /// Whether the next attempt is the last that may run.
+    /// Whether the next attempt, if it runs, is the last allowed.
     pub fn is_last(&self) -> bool {
-        self.runs + 1 >= self.most_runs
+        self.runs + 1 >= self.max_runs
     }
 
-    /// Why no further attempt may be made, if none may; the retry budget is asked besides.
+    /// Why no further attempt may be made, or `None` if one may; the retry budget is checked elsewhere.
     pub fn stop_reason(&self, time_left: Duration) -> Option<StopReason> {
         if self.runs > 0 && !self.kind.is_repeatable() {
             Some(StopReason::NotRepeatable)
-        } else if self.runs >= self.most_runs {
+        } else if self.runs >= self.max_runs {
             Some(StopReason::RunLimit)
-        } else if self.turned_away >= self.most_turned_away {
-            Some(StopReason::RejectionLimit)
+        } else if self.not_run >= self.max_not_run {
+            Some(StopReason::NotRunLimit)
         } else if time_left.is_zero() {
             Some(StopReason::DeadlineExceeded)
         } else {
@@ -115,9 +117,11 @@
         }
     }
 
-    /// What the caller is told at the end; "not run" only if no attempt may have run, with when to come back.
+    /// The error for the caller after the last attempt, with `delivered` events already sent to the caller.
+    ///
+    /// "Not run" and the retry delay are stated only if no attempt can have run.
     pub fn final_error(&self, reason: StopReason, delivered: u64, retry_after: Duration) -> Error {
-        let kind = match (self.runs, self.turned_away + self.misdirected, delivered) {
+        let kind = match (self.runs, self.not_run + self.misdirected, delivered) {
             (0, _, _) if matches!(reason, StopReason::Overloaded | StopReason::Throttled) => ErrorKind::Overloaded,
             (0, _, _) if reason == StopReason::Quarantined => ErrorKind::Quarantined,
             (0, 0, _) => ErrorKind::NoEndpoint,
--- a/crates/hollyhook_core/src/forward/caller_head.rs
+++ b/crates/hollyhook_core/src/forward/caller_head.rs
@@ -2,35 +2,36 @@
 
 use crate::Name;
 
-/// The tokens that a generation reads and may write.
+/// The size of a generation, in tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct PromptSize {
-    /// Tokens of the prompt.
+    /// Tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of output, at most.
+    /// Most tokens that may be generated.
     pub output_tokens: u64,
-    /// Names the part of the prompt that is the request's or its session's own; engines cache prompts by their parts.
+    /// Identifies the last part of the prompt, which is specific to the request or its session; engines cache prompts
+    /// by their parts.
     pub own_part: Option<u64>,
 }
 
 impl PromptSize {
-    /// Tokens of engine memory that the generation takes by its end.
+    /// The engine memory that the generation occupies by its end, in tokens.
     pub fn memory_tokens(self) -> u64 {
         self.prompt_tokens + self.output_tokens
     }
 }
 
-/// What hollyhook reads of a caller's request head.
+/// The parts of a caller's request head that hollyhook evaluates.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerHead {
-    /// The id of this client attempt.
+    /// The id that the caller gave to this attempt.
     pub attempt_id: Name,
-    /// How long the caller will wait from when it sent the request; none if it does not say.
+    /// How long the caller waits for the answer after sending the request; `None` if not stated.
     pub timeout: Option<Duration>,
-    /// The API key.
+    /// The caller's API key, if any.
     pub key: Option<Name>,
-    /// The number of the last event that the caller has.
+    /// The number of the last event that the caller received of an interrupted stream, if any.
     pub cursor: Option<u64>,
-    /// The size of a generation; none for a plain call.
+    /// The size of the generation; `None` if the caller states none, as for a plain call.
     pub prompt: Option<PromptSize>,
 }
--- a/crates/hollyhook_core/src/forward/mod.rs
+++ b/crates/hollyhook_core/src/forward/mod.rs
@@ -1,4 +1,4 @@
-//! Forwarding of opaque requests: what callers sent, what endpoints answered, and what that means.
+//! Forwarding of opaque requests: request and answer heads, verdicts on answers, and limits on further attempts.
 
 mod answer_verdict;
 mod attempt_ledger;
--- a/crates/hollyhook_core/src/lib.rs
+++ b/crates/hollyhook_core/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of hollyhook, as state machines without input, output, clock or thread.
+//! The decision logic of hollyhook, as state machines without I/O, clocks or threads.
 //!
-//! Every part takes `(now, event)` and returns actions or an answer. Time is a [`TimePoint`] that the driver
-//! supplies, random numbers come from a seeded source that the driver supplies. The daemon, the fuzz tests and
-//! the trace replay drive the same code through this boundary; `docs/design/boundary.md` describes it.
+//! Each state machine takes `(now, event)` and returns actions or an answer. The driver supplies the time, as a
+//! [`TimePoint`], and a seeded source of random numbers. The daemon, the fuzz tests and the trace replay drive the same
+//! code through this interface, which `docs/design/boundary.md` describes.
 
 mod call;
 mod cursor;
--- a/crates/hollyhook_core/src/name/mod.rs
+++ b/crates/hollyhook_core/src/name/mod.rs
@@ -6,7 +6,7 @@
 
 pub use model_binding::ModelBinding;
 
-/// Any name: a shared immutable string.
+/// A name of any kind, as a shared immutable string.
 pub type Name = Arc<str>;
 
 /// The name of a client account.
@@ -15,5 +15,5 @@
 /// The name of an availability zone.
 pub type ZoneName = Name;
 
-/// The name of an endpoint, unique over all sites.
+/// The name of an endpoint, unique across all sites.
 pub type EndpointId = Name;
--- a/crates/hollyhook_core/src/name/model_binding.rs
+++ b/crates/hollyhook_core/src/name/model_binding.rs
@@ -4,17 +4,17 @@
 
 use super::Name;
 
-/// The exact weights that a generation is bound to.
+/// The model, version and adapter that a generation is bound to.
 ///
-/// A generation is resumed only on an endpoint that serves an equal binding, since another version or adapter
-/// would continue with tokens of another generation.
+/// A generation is resumed only on an endpoint that serves an equal binding, since another version or adapter would not
+/// continue the same sequence of tokens.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ModelBinding {
-    /// The model's name as callers write it.
+    /// The model's name, as callers state it.
     pub model: Name,
     /// The version of the weights.
     pub version: Name,
-    /// The adapter loaded on top, if any.
+    /// The adapter that is loaded on top of the weights, if any.
     pub adapter: Option<Name>,
 }
 
@@ -24,7 +24,7 @@
         Self { model: model.into(), version: version.into(), adapter: None }
     }
 
-    /// The same binding with an adapter.
+    /// Sets the adapter.
     #[must_use]
     pub fn adapter(mut self, adapter: impl Into<Name>) -> Self {
         self.adapter = Some(adapter.into());
--- a/crates/hollyhook_core/src/stop/mod.rs
+++ b/crates/hollyhook_core/src/stop/mod.rs
@@ -1,4 +1,4 @@
-//! The graceful stop of a host.
+//! Graceful shutdown of a host.
 
 mod stop_plan;
 
--- a/crates/hollyhook_core/src/stop/stop_plan.rs
+++ b/crates/hollyhook_core/src/stop/stop_plan.rs
@@ -2,28 +2,29 @@
 
 use crate::RequestKind;
 
-/// How long after the order to stop streams are still begun: one that takes its usual five or six seconds still ends
-/// within the grace time.
-const STREAM_INTAKE: Duration = Duration::from_millis(700);
-/// How long the balancer may go on to send callers: it asks once a second, and two misses take a host out.
-const CALLER_INTAKE: Duration = Duration::from_secs(3);
-/// The part of the grace time that requests may use; the rest is for the process to end before it is killed.
+/// How long after the shutdown request new streams are admitted: a stream of the usual five or six seconds still ends
+/// within the grace period.
+const STREAM_ACCEPT_PERIOD: Duration = Duration::from_millis(700);
+/// How long after the shutdown request the load balancer may still send callers: it checks readiness once a second, and
+/// removes a host after two failed checks.
+const ACCEPT_PERIOD: Duration = Duration::from_secs(3);
+/// The fraction of the grace period that requests may use; the rest is for the process to exit before it is killed.
 const USABLE_GRACE: f64 = 0.94;
 
-/// How far a graceful stop is.
+/// The phase of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopPhase {
-    /// No stop was ordered.
+    /// No shutdown was requested.
     Serving,
-    /// Not ready any more; what comes and can end in time is served.
+    /// The host reports that it is not ready; new requests that can end in time are served.
     Leaving,
-    /// No caller is expected any more: idle connections are closed.
+    /// No new callers are expected; idle connections are closed.
     Closing,
-    /// Time is up: what still runs is cut off.
+    /// The usable grace period is over; requests that still run are cut off.
     Over,
 }
 
-/// The phases of a graceful stop that has to be over within a grace time.
+/// The phases of a graceful shutdown that must end within a grace period.
 ///
 /// ```
 /// use hollyhook_core::{StopPhase, StopPlan};
@@ -40,39 +41,40 @@
 }
 
 impl StopPlan {
-    /// A plan for a process that is killed `grace` after the order.
+    /// A plan for a process that is killed `grace` after the shutdown request.
     pub fn new(grace: Duration) -> Self {
         Self { grace }
     }
 
-    /// The phase that long after the order.
-    pub fn phase(self, passed: Duration) -> StopPhase {
-        if passed >= self.usable_grace() {
+    /// The phase at `elapsed` after the shutdown request.
+    pub fn phase(self, elapsed: Duration) -> StopPhase {
+        if elapsed >= self.usable_grace() {
             StopPhase::Over
-        } else if passed >= CALLER_INTAKE {
+        } else if elapsed >= ACCEPT_PERIOD {
             StopPhase::Closing
         } else {
             StopPhase::Leaving
         }
     }
 
-    /// Whether a request is still begun that long after the order, whose caller waits for `patience`.
+    /// Whether a request whose caller waits for `timeout` is admitted at `elapsed` after the shutdown request.
     ///
-    /// While callers are expected, a stream is taken if one of the usual length would end, and each call, which takes a
-    /// fraction of a second. After that a call is taken only if its caller gives up within the grace time.
-    pub fn is_admitted(self, kind: RequestKind, patience: Duration, passed: Duration) -> bool {
+    /// Streams are admitted as long as one of the usual length would end in time. Calls take a fraction of a second,
+    /// and are all admitted in the accept period; after it, a call is admitted only if its caller's timeout ends within
+    /// the usable grace period.
+    pub fn is_admitted(self, kind: RequestKind, timeout: Duration, elapsed: Duration) -> bool {
         if kind.is_stream() {
-            return passed < STREAM_INTAKE;
+            return elapsed < STREAM_ACCEPT_PERIOD;
         }
-        passed < self.accept_period() || passed + patience <= self.usable_grace()
+        elapsed < self.accept_period() || elapsed + timeout <= self.usable_grace()
     }
 
-    /// How long after the order callers may still come.
+    /// How long after the shutdown request new callers are expected.
     pub fn accept_period(self) -> Duration {
-        CALLER_INTAKE.min(self.usable_grace())
+        ACCEPT_PERIOD.min(self.usable_grace())
     }
 
-    /// How long after the order requests may still run.
+    /// How long after the shutdown request requests may still run.
     pub fn usable_grace(self) -> Duration {
         self.grace.mul_f64(USABLE_GRACE)
     }
--- a/crates/hollyhook_core/src/terms/advertised_terms.rs
+++ b/crates/hollyhook_core/src/terms/advertised_terms.rs
@@ -1,12 +1,12 @@
 use std::time::Duration;
 
-/// What one answer of an endpoint says of the terms on which it takes requests.
+/// The terms on which an endpoint takes requests, as one of its answers advertises them.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct AdvertisedTerms {
-    /// Requests a second that it takes from all hosts together; none if it does not limit them.
+    /// The rate limit for all hosts together, in requests per second; `None` if the answer states no limit.
     pub rate_limit: Option<f64>,
-    /// Whether it leaves.
+    /// Whether the endpoint announces that it is leaving.
     pub is_leaving: bool,
-    /// For how long it wants no more requests of this host; none if it does not say so.
+    /// For how long this host must send no more requests; `None` if the answer asks for no pause.
     pub pause: Option<Duration>,
 }
--- a/crates/hollyhook_core/src/terms/mod.rs
+++ b/crates/hollyhook_core/src/terms/mod.rs
@@ -1,9 +1,9 @@
-//! What endpoints say of themselves in their answers, on which terms they take requests.
+//! The terms on which endpoints take requests, as they advertise them in their answers.
 
-mod rate_share;
 mod advertised_terms;
+mod rate_share;
 mod terms_table;
 
-pub use rate_share::RateShare;
 pub use advertised_terms::AdvertisedTerms;
+pub use rate_share::RateShare;
 pub use terms_table::TermsTable;
--- a/crates/hollyhook_core/src/terms/rate_share.rs
+++ b/crates/hollyhook_core/src/terms/rate_share.rs
@@ -4,19 +4,21 @@
 
 use crate::TimePoint;
 
-/// The part of a limit that all hosts together use. Their slots overlap by chance, and each learns of others late.
+/// The fraction of a limit that all hosts together use: their slots coincide by chance, and each host learns late how
+/// many hosts share the limit.
 const USED_SHARE: f64 = 0.8;
-/// How long a slot may be used after it has come. Kept for longer, the unused ones of many hosts would add up to a burst.
-const SLOT_LIFE: Duration = Duration::from_secs(1);
-/// The least rate, in requests a second, that is taken for a limit: an endpoint that gets nothing can't say that its limit has
-/// ended.
-const LEAST_RATE: f64 = 0.1;
+/// How long a slot may be used after it opens. If it stayed valid for longer, the unused slots of many hosts would add
+/// up to a burst.
+const SLOT_LIFETIME: Duration = Duration::from_secs(1);
+/// The lowest rate that is enforced, in requests per second: an endpoint that gets no requests can't state that its
+/// limit has ended.
+const MIN_RATE: f64 = 0.1;
 
-/// This host's share of the requests a second that an endpoint takes from all hosts together.
+/// This host's share of an endpoint's rate limit, which holds for all hosts together.
 ///
-/// Each host has a slot for one request every so many seconds, as its share of the rate is, and begins at a time drawn at
-/// random. An unused slot is lost after a second. So the requests of all hosts in some seconds stay near the limit, whatever
-/// the number of hosts and however uneven their load, without a message between them.
+/// Each host has a slot for one request at a fixed interval, given by its share of the rate; the first slot opens at a
+/// random time. An unused slot expires after a second. Over a few seconds, the requests of all hosts therefore stay
+/// near the limit, whatever the number of hosts and however uneven their load, without any messages between hosts.
 ///
 /// ```
 /// use hollyhook_core::{RateShare, TimePoint};
@@ -36,30 +38,31 @@
 }
 
 impl RateShare {
-    /// One host's share of `rate` requests a second, of so many hosts.
+    /// The share of one of `hosts` hosts in a limit of `rate` requests per second.
     pub fn new(now: TimePoint, rate: f64, hosts: usize, rng: &mut impl Rng) -> Self {
         let interval = interval(rate, hosts);
         Self { rate, interval, slot_at: now + interval.mul_f64(rng.random::<f64>()) }
     }
 
-    /// The rate of which this is a share, in requests a second.
+    /// The rate limit for all hosts together, in requests per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Takes another rate, or another number of hosts. A slot that is as near as before stays where it is.
+    /// Changes the rate limit or the number of hosts. The next slot moves only if it is more than one new interval
+    /// away.
     pub fn update(&mut self, now: TimePoint, rate: f64, hosts: usize) {
         self.rate = rate;
         self.interval = interval(rate, hosts);
         self.slot_at = self.slot_at.min(now + self.interval);
     }
 
-    /// How long until a request may be sent; zero if one may be sent now.
+    /// The time until a request may be sent; zero if one may be sent now.
     pub fn opens_in(&self, now: TimePoint) -> Duration {
         self.next_slot(now).since(now)
     }
 
-    /// Whether a request may be sent now; if so, the slot is used.
+    /// Whether a request may be sent now; if so, uses up the slot.
     pub fn try_use(&mut self, now: TimePoint) -> bool {
         let slot_at = self.next_slot(now);
         if slot_at > now {
@@ -69,19 +72,19 @@
         true
     }
 
-    /// When the oldest slot came that is not lost yet, or the next one comes.
+    /// The opening time of the oldest slot that has not expired; it may lie in the future.
     fn next_slot(&self, now: TimePoint) -> TimePoint {
-        let overdue = now.since(self.slot_at + SLOT_LIFE);
+        let overdue = now.since(self.slot_at + SLOT_LIFETIME);
         if overdue.is_zero() {
             return self.slot_at;
         }
-        let lost = overdue.as_secs_f64() / self.interval.as_secs_f64();
-        self.slot_at + self.interval.mul_f64(lost.ceil())
+        let expired = overdue.as_secs_f64() / self.interval.as_secs_f64();
+        self.slot_at + self.interval.mul_f64(expired.ceil())
     }
 }
 
-/// The time between two slots of one host.
+/// The interval between the slots of one host.
 fn interval(rate: f64, hosts: usize) -> Duration {
-    let interval = Duration::from_secs_f64(hosts.max(1) as f64 / (rate.max(LEAST_RATE) * USED_SHARE));
+    let interval = Duration::from_secs_f64(hosts.max(1) as f64 / (rate.max(MIN_RATE) * USED_SHARE));
     interval.max(Duration::from_micros(1))
 }
--- a/crates/hollyhook_core/src/terms/terms_table.rs
+++ b/crates/hollyhook_core/src/terms/terms_table.rs
@@ -6,12 +6,14 @@
 use super::RateShare;
 use crate::{EndpointId, TimePoint};
 
-/// How long terms are kept that an endpoint does not say again. One that still has them says so with its next answer.
-const KEPT: Duration = Duration::from_mins(10);
+/// How long terms are kept without being advertised again. An endpoint whose terms still hold advertises them in its
+/// next answer.
+const RETENTION: Duration = Duration::from_mins(10);
 
-/// The terms on which endpoints take requests, as they last said themselves.
+/// The terms on which endpoints take requests, as each endpoint last advertised them.
 ///
-/// Kept apart from what the platform lists, which may be older than what an endpoint says, and may come and go.
+/// Kept apart from the platform's list of endpoints, whose entries may be older than an endpoint's own answers, and may
+/// be removed and added again.
 #[derive(Debug, Default)]
 pub struct TermsTable {
     terms: BTreeMap<EndpointId, EndpointTerms>,
@@ -19,7 +21,7 @@
 
 #[derive(Debug)]
 struct EndpointTerms {
-    heard_at: TimePoint,
+    updated_at: TimePoint,
     share: Option<RateShare>,
     is_leaving: bool,
     paused_until: TimePoint,
@@ -33,55 +35,64 @@
 }
 
 impl TermsTable {
-    /// Takes in the rate limit, in requests a second, that an endpoint names for the `hosts` together; tells whether that is news.
-    pub fn set_rate_limit(&mut self, now: TimePoint, id: &EndpointId, rate: f64, hosts: usize, rng: &mut impl Rng) -> bool {
-        let terms = self.heard(now, id);
+    /// Sets an endpoint's rate limit, in requests per second for all `hosts` together; returns whether it changed.
+    pub fn set_rate_limit(
+        &mut self,
+        now: TimePoint,
+        id: &EndpointId,
+        rate: f64,
+        hosts: usize,
+        rng: &mut impl Rng,
+    ) -> bool {
+        let terms = self.refresh(now, id);
         if let Some(share) = &mut terms.share {
-            let is_news = share.rate().total_cmp(&rate).is_ne();
+            let is_changed = share.rate().total_cmp(&rate).is_ne();
             share.update(now, rate, hosts);
-            return is_news;
+            return is_changed;
         }
         terms.share = Some(RateShare::new(now, rate, hosts, rng));
         true
     }
 
-    /// Takes in that the answer to a request sent at `sent_at` names no limit; tells whether that ends one.
+    /// Clears an endpoint's rate limit after the answer to a request sent at `sent_at` stated none; returns whether
+    /// there was a limit.
     ///
-    /// A limit that was heard later than that stays: answers on different connections overtake each other.
+    /// Terms that were updated at `sent_at` or later stay, because answers on different connections may arrive out of
+    /// order.
     pub fn clear_rate_limit(&mut self, id: &EndpointId, sent_at: TimePoint) -> bool {
-        let terms = self.terms.get_mut(id).filter(|terms| terms.heard_at < sent_at);
+        let terms = self.terms.get_mut(id).filter(|terms| terms.updated_at < sent_at);
         terms.is_some_and(|terms| terms.share.take().is_some())
     }
 
-    /// Takes in that an endpoint says that it leaves.
+    /// Records that an endpoint announced that it is leaving.
     pub fn mark_leaving(&mut self, now: TimePoint, id: &EndpointId) {
-        self.heard(now, id).is_leaving = true;
+        self.refresh(now, id).is_leaving = true;
     }
 
-    /// Whether an endpoint said that it leaves.
+    /// Whether an endpoint announced that it is leaving.
     pub fn is_leaving(&self, id: &str) -> bool {
         self.terms.get(id).is_some_and(|terms| terms.is_leaving)
     }
 
-    /// Takes in that an endpoint wants no more requests of this host for so long; tells whether that is news.
+    /// Pauses requests of this host to an endpoint for at least `span`; returns whether it was not paused before.
     pub fn extend_pause(&mut self, now: TimePoint, id: &EndpointId, span: Duration) -> bool {
-        let terms = self.heard(now, id);
-        let is_news = terms.paused_until <= now;
+        let terms = self.refresh(now, id);
+        let is_new = terms.paused_until <= now;
         terms.paused_until = terms.paused_until.max(now + span);
-        is_news
+        is_new
     }
 
-    /// How long an endpoint still wants no more requests of this host.
+    /// The remaining time for which this host must send no requests to an endpoint.
     pub fn pause_left(&self, now: TimePoint, id: &str) -> Duration {
         self.terms.get(id).map_or(Duration::ZERO, |terms| terms.paused_until.since(now))
     }
 
-    /// Whether an endpoint takes a request of this host now.
+    /// Whether an endpoint's terms admit a request of this host now.
     pub fn is_open(&self, now: TimePoint, id: &str) -> bool {
         self.terms.get(id).is_none_or(|terms| terms.is_open(now))
     }
 
-    /// Whether a request may be sent to an endpoint now; if so, it is counted.
+    /// Whether a request may be sent to an endpoint now; if so, it counts against the rate limit.
     pub fn try_send(&mut self, now: TimePoint, id: &str) -> bool {
         let Some(terms) = self.terms.get_mut(id) else {
             return true;
@@ -93,14 +104,14 @@
         is_open
     }
 
-    /// The terms of an endpoint that has just said something of them.
-    fn heard(&mut self, now: TimePoint, id: &EndpointId) -> &mut EndpointTerms {
+    /// The terms of an endpoint that has just advertised some, marked as updated at `now`.
+    fn refresh(&mut self, now: TimePoint, id: &EndpointId) -> &mut EndpointTerms {
         if !self.terms.contains_key(id) {
-            self.terms.retain(|_, terms| now.since(terms.heard_at) < KEPT || now < terms.paused_until);
+            self.terms.retain(|_, terms| now.since(terms.updated_at) < RETENTION || now < terms.paused_until);
         }
-        let fresh = || EndpointTerms { heard_at: now, share: None, is_leaving: false, paused_until: now };
+        let fresh = || EndpointTerms { updated_at: now, share: None, is_leaving: false, paused_until: now };
         let terms = self.terms.entry(EndpointId::clone(id)).or_insert_with(fresh);
-        terms.heard_at = now;
+        terms.updated_at = now;
         terms
     }
 }
--- a/crates/hollyhook_core/src/time/mod.rs
+++ b/crates/hollyhook_core/src/time/mod.rs
@@ -1,4 +1,4 @@
-//! Points in time as the driver counts them.
+//! Points in time, as the driver supplies them, and the serialization of durations.
 
 pub(crate) mod span_millis;
 mod time_point;
--- a/crates/hollyhook_core/src/time/span_millis.rs
+++ b/crates/hollyhook_core/src/time/span_millis.rs
@@ -1,4 +1,4 @@
-//! Spans as whole milliseconds, for `#[serde(with)]`.
+//! Serializes durations as whole milliseconds, for `#[serde(with)]`.
 
 use std::time::Duration;
 
--- a/crates/hollyhook_core/src/time/time_point.rs
+++ b/crates/hollyhook_core/src/time/time_point.rs
@@ -3,9 +3,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time: microseconds since the driver's own start.
+/// A point in time, in microseconds since the start of the driver.
 ///
-/// Two hosts never compare their time points; wall-clock times travel as Unix seconds instead.
+/// Time points of different hosts are not comparable; hosts exchange Unix times or ages instead.
 ///
 /// ```
 /// use hollyhook_core::TimePoint;
@@ -21,12 +21,12 @@
     /// The driver's start.
     pub const ZERO: Self = Self(0);
 
-    /// A point that many microseconds after the driver's start.
+    /// The point `micros` microseconds after the driver's start.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// A point that many milliseconds after the driver's start.
+    /// The point `millis` milliseconds after the driver's start.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
@@ -36,7 +36,7 @@
         self.0
     }
 
-    /// The time that passed since `earlier`, or zero if `earlier` is later.
+    /// The time since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
