--- a/crates/hollyhook_core/tests/fuzz/store_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/store_fuzz.rs
@@ -1,4 +1,5 @@
-//! A store that comes back from older copies of itself, the hosts of a zone that read it, and those that are told.
+//! Simulates a store that is restored from older copies of itself, and the hosts of a zone that read it or follow
+//! others.
 
 use std::collections::BTreeMap;
 use std::panic::catch_unwind;
@@ -8,22 +9,23 @@
 
 use crate::harness::{Tally, fuzz};
 
-/// Two leaders, a relay that asks them, and two that ask the relay, a leader or the store.
+/// Two leaders, a relay that asks them, and two followers that ask the relay or a leader; those that don't lead
+/// sometimes ask the store.
 const HOSTS: usize = 5;
 const LEADERS: usize = 2;
 const OBJECTS: u8 = 4;
-/// Rounds in which every host asks once, after which all know what the store holds: two to notice a new era and list, and
-/// one for each host on the way.
+/// Rounds, in which every host asks once, after which all hosts must agree with the store: two to detect a new era and
+/// read a list, and one for each host that passes it on.
 const SETTLING_ROUNDS: usize = 6;
 
-/// A rule of the reader that is left out, to see that it is missed.
+/// A rule of the hosts that is left out, to check that the assertions detect it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Defect {
     None,
-    /// Watches are believed whatever era their answer is of.
+    /// Changes from a watch are applied even if their era differs from that of the revision asked from.
     WatchAcrossEras,
-    /// Other hosts are believed whatever era they tell of.
-    HearsayOfOldEra,
+    /// Updates of an older era are applied.
+    UpdateOfOlderEra,
 }
 
 #[derive(Debug, Clone)]
@@ -31,15 +33,15 @@
     Write(u8, u32),
     Remove(u8),
     Copy,
-    /// Comes back from one of the copies, with so many writes in the same moment.
+    /// Restores the store from one of the copies, followed at once by a number of writes.
     Restore(usize, u8),
-    ForgetHistory,
-    /// A host asks the store or another host; the answer is on its way.
+    DropHistory,
+    /// A host asks the store or another host; the answer is in flight.
     Ask(usize, usize),
-    /// The answer arrives, or is lost.
+    /// The answer in flight arrives, or is lost.
     Arrive(usize, bool),
-    /// A host hears of the store's era on another connection.
-    HearEra(usize),
+    /// A host sees the store's era on another connection.
+    SeeEra(usize),
 }
 
 #[derive(Debug, Clone, Default)]
@@ -62,7 +64,7 @@
         self.changes.push((self.revision, FeedChange { name, object }));
     }
 
-    /// A watch from a revision, or a list; none for a history that is gone.
+    /// The answer to a watch from a revision, or to a list without one; `None` if the history from there is dropped.
     fn answer(&self, after: Option<u64>) -> Option<FeedUpdate<u32>> {
         let changes = match after {
             Some(after) if after > self.revision || after < self.oldest => return None,
@@ -85,27 +87,27 @@
     log: FeedLog<u32>,
     eras: EraTracker,
     revision: Option<StoreRevision>,
-    /// What it believes.
+    /// The objects as the host knows them.
     view: BTreeMap<Name, u32>,
-    /// The answer that is on its way, to a question from a revision.
-    coming: Option<Answer>,
+    /// The answer in flight, if the host waits for one.
+    pending: Option<Answer>,
 }
 
 struct Answer {
     is_of_store: bool,
     asked_from: Option<StoreRevision>,
-    /// None if there is nothing to tell.
-    news: Option<FeedUpdate<u32>>,
+    /// `None` if the history is dropped, or the asked host must not pass its copy on.
+    update: Option<FeedUpdate<u32>>,
 }
 
-struct World {
+struct Simulation {
     defect: Defect,
     store: Store,
     copies: Vec<Store>,
     hosts: Vec<Host>,
 }
 
-impl World {
+impl Simulation {
     fn new(defect: Defect) -> Self {
         let store = Store { era: 1, revision: 1, ..Store::default() };
         let hosts = (0..HOSTS).map(|_| Host::default()).collect();
@@ -125,39 +127,39 @@
                     self.store.change(number % OBJECTS, Some(1_000 * era as u32 + u32::from(number)));
                 }
             }
-            Step::ForgetHistory => self.store.oldest = self.store.revision,
+            Step::DropHistory => self.store.oldest = self.store.revision,
             Step::Ask(host, source) => self.ask(*host, *source),
             Step::Arrive(host, is_lost) => self.arrive(*host, *is_lost, tally),
-            Step::HearEra(host) => _ = self.hosts[*host].eras.observe(Some(self.store.era)),
+            Step::SeeEra(host) => _ = self.hosts[*host].eras.observe(Some(self.store.era)),
         }
     }
 
-    /// A host asks the one before it in the chain of those that tell, or the store: leaders always the store.
+    /// Sends a host's question to the store, which leaders always ask, or to a host before it in the chain.
     fn ask(&mut self, host: usize, source: usize) {
         let asked_from = self.hosts[host].revision;
-        if self.hosts[host].coming.is_some() {
+        if self.hosts[host].pending.is_some() {
             return;
         }
         let is_of_store = host < LEADERS || source.is_multiple_of(4);
-        let news = if is_of_store {
+        let update = if is_of_store {
             let era = self.hosts[host].eras.era();
             let is_same_era = |from: &StoreRevision| self.defect == Defect::WatchAcrossEras || from.era == era;
             self.store.answer(asked_from.filter(is_same_era).map(|from| from.number))
         } else {
-            let teller = if host == LEADERS { source % LEADERS } else { source % (LEADERS + 1) };
-            self.hosts[teller].log.update_after(asked_from)
+            let peer = if host == LEADERS { source % LEADERS } else { source % (LEADERS + 1) };
+            self.hosts[peer].log.update_after(asked_from)
         };
-        self.hosts[host].coming = Some(Answer { is_of_store, asked_from, news });
+        self.hosts[host].pending = Some(Answer { is_of_store, asked_from, update });
     }
 
     fn arrive(&mut self, host: usize, is_lost: bool, tally: &Tally) {
         let defect = self.defect;
         let host = &mut self.hosts[host];
-        let Some(answer) = host.coming.take().filter(|_| !is_lost) else {
+        let Some(answer) = host.pending.take().filter(|_| !is_lost) else {
             return;
         };
-        let Some(mut news) = answer.news else {
-            // History that is gone is read again; a host that may not tell is passed over.
+        let Some(mut update) = answer.update else {
+            // If the history is dropped, all objects are read again; a host that refuses is skipped.
             if answer.is_of_store {
                 tally.count("history_gone");
                 host.revision = None;
@@ -165,28 +167,28 @@
             return;
         };
         let before = host.eras.era();
-        if host.eras.observe(Some(news.revision.era)) == EraVerdict::Older && defect != Defect::HearsayOfOldEra {
+        if host.eras.observe(Some(update.revision.era)) == EraVerdict::Older && defect != Defect::UpdateOfOlderEra {
             tally.count("older_refused");
             return;
         }
-        let is_across = answer.asked_from.is_some_and(|from| from.era != news.revision.era);
-        if answer.is_of_store && !news.is_snapshot && is_across && defect != Defect::WatchAcrossEras {
+        let is_across = answer.asked_from.is_some_and(|from| from.era != update.revision.era);
+        if answer.is_of_store && !update.is_snapshot && is_across && defect != Defect::WatchAcrossEras {
             tally.count("watch_across_eras");
             host.revision = None;
             return;
         }
         if !answer.is_of_store {
-            news.hops += 1;
+            update.hops += 1;
         }
-        if news.revision.era > before && before > 0 {
+        if update.revision.era > before && before > 0 {
             tally.count(if answer.is_of_store { "era_from_store" } else { "era_from_host" });
         }
-        let is_older = host.revision.is_some_and(|known| news.revision < known);
-        assert!(!is_older || news.revision.era >= host.eras.era(), "news of an older era replace newer ones");
-        host.take(&news);
+        let is_older = host.revision.is_some_and(|known| update.revision < known);
+        assert!(!is_older || update.revision.era >= host.eras.era(), "an update of an older era replaces newer objects");
+        host.apply(&update);
     }
 
-    /// Nothing else happens, and all ask.
+    /// Lets all hosts ask without further changes, then checks that they agree with the store.
     fn settle(&mut self, tally: &Tally) {
         for _ in 0..SETTLING_ROUNDS {
             for host in 0..HOSTS {
@@ -196,24 +198,24 @@
             }
         }
         for (number, host) in self.hosts.iter().enumerate() {
-            assert_eq!(host.view, self.store.objects, "host {number} believes something else than the store holds");
+            assert_eq!(host.view, self.store.objects, "host {number} differs from the store");
         }
     }
 }
 
 impl Host {
-    fn take(&mut self, news: &FeedUpdate<u32>) {
-        if news.is_snapshot {
+    fn apply(&mut self, update: &FeedUpdate<u32>) {
+        if update.is_snapshot {
             self.view.clear();
         }
-        for change in &news.changes {
+        for change in &update.changes {
             match change.object {
                 Some(value) => self.view.insert(Name::clone(&change.name), value),
                 None => self.view.remove(&change.name),
             };
         }
-        self.revision = self.revision.max(Some(news.revision));
-        self.log.apply(news);
+        self.revision = self.revision.max(Some(update.revision));
+        self.log.apply(update);
     }
 }
 
@@ -223,38 +225,38 @@
         2 => (0..OBJECTS).prop_map(Step::Remove),
         1 => Just(Step::Copy),
         1 => (any::<usize>(), 0..12_u8).prop_map(|(copy, writes)| Step::Restore(copy, writes)),
-        1 => Just(Step::ForgetHistory),
+        1 => Just(Step::DropHistory),
         6 => (0..HOSTS, any::<usize>()).prop_map(|(host, source)| Step::Ask(host, source)),
         6 => (0..HOSTS, proptest::bool::weighted(0.1)).prop_map(|(host, is_lost)| Step::Arrive(host, is_lost)),
-        1 => (0..HOSTS).prop_map(Step::HearEra),
+        1 => (0..HOSTS).prop_map(Step::SeeEra),
     ]
 }
 
-fn play(defect: Defect, cases: u32, tally: &Tally) {
+fn run(defect: Defect, cases: u32, tally: &Tally) {
     fuzz("store that comes back older", cases, &proptest::collection::vec(step(), 1..80), |steps| {
-        let mut world = World::new(defect);
+        let mut simulation = Simulation::new(defect);
         for step in &steps {
-            world.step(step, tally);
+            simulation.step(step, tally);
         }
-        world.settle(tally);
+        simulation.settle(tally);
     });
 }
 
-/// Whatever is lost, late or told by others: nothing of an older era replaces what is newer, and all agree with the store in
-/// the end.
+/// Whatever is lost, late or passed on by other hosts: no update of an older era replaces newer objects, and in the end
+/// all hosts agree with the store.
 #[test]
-fn hosts_agree_with_store_in_the_end() {
+fn hosts_agree_with_store() {
     let tally = Tally::default();
-    play(Defect::None, 2_000, &tally);
+    run(Defect::None, 2_000, &tally);
     let needed = ["restored", "history_gone", "older_refused", "watch_across_eras", "era_from_store", "era_from_host"];
     tally.conclude("store that comes back older", &needed);
 }
 
-/// The checks miss neither of the rules that keep eras apart.
+/// The assertions detect when either rule that separates eras is left out.
 #[test]
-fn defects_found() {
-    for defect in [Defect::WatchAcrossEras, Defect::HearsayOfOldEra] {
-        let found = catch_unwind(|| play(defect, 2_000, &Tally::default()));
-        assert!(found.is_err(), "{defect:?} is not found");
+fn defects_detected() {
+    for defect in [Defect::WatchAcrossEras, Defect::UpdateOfOlderEra] {
+        let result = catch_unwind(|| run(defect, 2_000, &Tally::default()));
+        assert!(result.is_err(), "{defect:?} is not detected");
     }
 }
--- a/crates/hollyhook_core/tests/gateway/answers.rs
+++ b/crates/hollyhook_core/tests/gateway/answers.rs
@@ -24,9 +24,10 @@
     }
 }
 
-/// No status that promises "not run" is passed on from an endpoint: only its own statement makes the promise true.
+/// A status that promises "not run" is never passed on from an endpoint; it counts as not run only if the endpoint
+/// states so itself.
 #[test]
-fn judge_promise_without_statement() {
+fn judge_not_run_status() {
     for kind in KINDS {
         for status in [408, 429, 503] {
             assert_eq!(judge(kind, &head(status)), AnswerVerdict::Fail(AttemptFailure::Failed), "{status}");
@@ -53,7 +54,7 @@
     let other = AnswerHead { endpoint: Some("i-2".into()), ..head(421) };
     assert_eq!(judge(KINDS[0], &other), AnswerVerdict::Fail(AttemptFailure::WrongIncarnation));
     assert_eq!(judge(KINDS[0], &head(421)), AnswerVerdict::Fail(AttemptFailure::WrongIncarnation));
-    // The engine that was meant turns away what asks for other weights; it is not gone.
+    // The addressed engine rejects requests for other weights, and is still there.
     let meant = AnswerHead { endpoint: Some("i-1".into()), ..head(421) };
     assert_eq!(judge(KINDS[2], &meant), AnswerVerdict::Fail(AttemptFailure::Rejected));
 }
@@ -66,9 +67,9 @@
     assert_eq!(judge(RequestKind::Idempotent, &head(101)), AnswerVerdict::Fail(AttemptFailure::Garbled));
 }
 
-/// What certainly did not run may be said to be "not run"; all else may not.
+/// Only failures after which the request is certain not to have run may be reported as "not run".
 #[test]
-fn failures_that_did_not_run() {
+fn is_not_run_by_failure() {
     use AttemptFailure::{Broken, Expired, Failed, Garbled, NotConnected, Rejected, Silent, WrongIncarnation};
     for failure in [NotConnected, Rejected, WrongIncarnation] {
         assert!(failure.is_not_run(), "{failure:?}");
@@ -76,6 +77,6 @@
     for failure in [Broken, Silent, Expired, Garbled, Failed] {
         assert!(!failure.is_not_run(), "{failure:?}");
     }
-    // A caller's own deadline says nothing about the endpoint.
+    // An expired deadline of the caller does not indicate a fault of the endpoint.
     assert!(!Expired.is_loss());
 }
--- a/crates/hollyhook_core/tests/gateway/attempts.rs
+++ b/crates/hollyhook_core/tests/gateway/attempts.rs
@@ -23,22 +23,23 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn stops_in_time() {
+fn stop_reason_at_deadline() {
     let ledger = AttemptLedger::new(RequestKind::Idempotent, 2, 3);
     assert_eq!(ledger.stop_reason(Duration::ZERO), Some(StopReason::DeadlineExceeded));
     assert_eq!(ledger.stop_reason(SECOND), None);
 }
 
 #[test]
-fn end_without_attempt() {
+fn final_error_without_attempt() {
     let ledger = AttemptLedger::new(RequestKind::Idempotent, 2, 3);
     let error = ledger.final_error(StopReason::NoEndpoint, 0, SECOND);
     assert_eq!((error.kind(), error.get_retry_after()), (ErrorKind::NoEndpoint, Some(SECOND)));
 }
 
-/// After an outage of the platform, most endpoints that a host knows may have started anew since.
+/// Attempts that reach another incarnation don't use up the limit on attempts that did not run: after an outage of the
+/// platform, most endpoints that a host knows may have been restarted.
 #[test]
-fn note_wrong_incarnations() {
+fn record_failure_of_wrong_incarnation() {
     let mut ledger = AttemptLedger::new(RequestKind::NonIdempotent, 1, 3);
     for _ in 0..20 {
         ledger.record_failure(AttemptFailure::WrongIncarnation);
@@ -47,22 +48,22 @@
     assert_eq!(ledger.final_error(StopReason::NoEndpoint, 0, SECOND).get_run(), RunState::NotRun);
 }
 
-/// The budget counts what arrives at endpoints beyond the first.
+/// Only attempts that may have reached an endpoint are charged to the retry budget.
 #[test]
 fn has_arrived_unless_not_connected() {
-    let free: Vec<AttemptFailure> = FAILURES.into_iter().filter(|failure| !failure.has_arrived()).collect();
-    assert_eq!(free, [AttemptFailure::NotConnected]);
+    let uncharged: Vec<AttemptFailure> = FAILURES.into_iter().filter(|failure| !failure.has_arrived()).collect();
+    assert_eq!(uncharged, [AttemptFailure::NotConnected]);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever happens: what may not be repeated runs once, nothing runs more often than its route allows, and "not
-    /// run" is said exactly when no attempt may have run.
+    /// Whatever fails: a request that must not be repeated runs at most once, no request runs more often than its route
+    /// allows, and "not run" is stated exactly when no attempt can have run.
     #[test]
-    fn ends_truthfully(kind in 0_usize..4, most_runs in 1_u32..5, failures in proptest::collection::vec(0_usize..8, 0..20)) {
+    fn final_error_matches_runs(kind in 0_usize..4, max_runs in 1_u32..5, failures in proptest::collection::vec(0_usize..8, 0..20)) {
         let kind = KINDS[kind];
-        let mut ledger = AttemptLedger::new(kind, most_runs, 3);
+        let mut ledger = AttemptLedger::new(kind, max_runs, 3);
         let mut may_have_run = 0;
         for failure in failures.into_iter().map(|failure| FAILURES[failure]) {
             if ledger.stop_reason(SECOND).is_some() {
@@ -71,7 +72,7 @@
             ledger.record_failure(failure);
             may_have_run += u32::from(!failure.is_not_run());
         }
-        let most = if kind.is_repeatable() { most_runs } else { 1 };
+        let most = if kind.is_repeatable() { max_runs } else { 1 };
         prop_assert!(may_have_run <= most);
         for delivered in [0, 5] {
             let error = ledger.final_error(StopReason::NoEndpoint, delivered, SECOND);
--- a/crates/hollyhook_core/tests/gateway/contact.rs
+++ b/crates/hollyhook_core/tests/gateway/contact.rs
@@ -1,4 +1,4 @@
-//! How long calls to the store may take, and from when on lapsed entries are awaited.
+//! Timeouts of calls to the store, and the start of the grace period for lapsed entries.
 
 use std::time::Duration;
 
@@ -15,40 +15,41 @@
     Duration::from_millis(millis)
 }
 
-/// A store whose only call without an answer began at `began`, just after the last answer.
+/// The contact with a store whose only failed call began at `began`, at the time of the last answer.
 fn away_since(began: u64) -> StoreContact {
     failed_after(began, began)
 }
 
-/// The same some time after the last answer.
-fn failed_after(heard: u64, began: u64) -> StoreContact {
+/// The contact with a store whose only failed call began at `began`, after the last answer at `answered`.
+fn failed_after(answered: u64, began: u64) -> StoreContact {
     let mut contact = StoreContact::default();
-    contact.note_peer_answer(at(heard));
+    contact.note_peer_answer(at(answered));
     contact.note_failure(at(began));
     contact
 }
 
 #[test]
-fn answered_without_loss() {
+fn note_answer_without_loss() {
     assert_eq!(StoreContact::default().note_answer(at(10_000), CONTACT), None);
 }
 
-/// The store was away a quarter of a second ago: entries have all their time from now on.
+/// The last call failed only 0.2 s ago: the grace period starts now.
 #[test]
-fn answered_after_quick_refusal() {
+fn note_answer_after_recent_failure() {
     assert_eq!(away_since(9_800).note_answer(at(10_000), CONTACT), Some(at(10_000)));
 }
 
-/// The first call that fails goes over a connection that may have been dead since the last answer, with a cut long over.
+/// The first failed call used a connection that may have been dead since the last answer, so that the network may have
+/// been restored long ago.
 #[test]
-fn answered_after_pause_and_hung_call() {
+fn note_answer_after_first_failure() {
     let mut contact = failed_after(6_800, 7_300);
     assert_eq!(contact.note_answer(at(10_000), CONTACT), Some(at(7_050)));
 }
 
-/// A host that others read for was told since: what it lost before is made good.
+/// An answer of another host since the loss makes up for the lost updates.
 #[test]
-fn answered_after_others_told() {
+fn note_answer_after_peer_answer() {
     let mut contact = away_since(7_300);
     contact.note_peer_answer(at(8_000));
     assert!(!contact.is_away());
@@ -57,92 +58,93 @@
     assert_eq!(contact.note_answer(at(11_100), CONTACT), Some(at(10_250)), "counts from the last answer");
 }
 
-/// Later ones make a connection, which shows that the host was still out of contact.
+/// Calls after the first failed one open a new connection, which shows that the host was still cut off.
 #[test]
-fn answered_after_second_failure() {
+fn note_answer_after_second_failure() {
     let mut contact = failed_after(6_800, 7_300);
     contact.note_failure(at(9_700));
     assert_eq!(contact.note_answer(at(10_000), CONTACT), Some(at(9_950)));
 }
 
-/// The host may have been cut off alone, up to a moment after the call began.
+/// Only this host may have been cut off, until just after the call began.
 #[test]
-fn answered_after_hung_call() {
+fn note_answer_after_hung_call() {
     let mut contact = away_since(7_300);
     assert_eq!(contact.note_answer(at(10_000), CONTACT), Some(at(7_550)));
-    assert_eq!(contact.note_answer(at(10_010), CONTACT), None, "told once");
+    assert_eq!(contact.note_answer(at(10_010), CONTACT), None, "returned once");
 }
 
-/// Whenever the last call failed and whenever the next is answered, what is missing is forgotten, with time to spare for
-/// requests under way, before a host that was cut off until then is in contact.
+/// Whenever the next call is answered, missing entries are removed before a host that was cut off until the failed call
+/// counts as in contact, with time to spare for requests in flight.
 #[test]
-fn grace_over_before_contact() {
+fn note_answer_grace_over_before_contact() {
     for bound in [3_000, 4_000, 5_000] {
         for answered in (8_000..14_000).step_by(50) {
             let grace_start = away_since(8_000).note_answer(at(answered), millis(bound)).unwrap();
-            let forgotten = (grace_start + EndpointMembership::RETURN_GRACE).max(at(answered));
+            let removed_at = (grace_start + EndpointMembership::RETURN_GRACE).max(at(answered));
             let due = at(8_000) + millis(bound - 500);
-            assert!(forgotten <= due.max(at(answered)), "answered at {answered}, kept until {forgotten:?}");
+            assert!(removed_at <= due.max(at(answered)), "answered at {answered}, kept until {removed_at:?}");
         }
     }
 }
 
-/// A bound that is shorter than the grace time leaves none, rather than failing.
+/// A contact bound shorter than the grace period gives a start in the past, clamped to zero, rather than a panic.
 #[test]
-fn answered_with_short_bound() {
+fn note_answer_with_short_bound() {
     assert_eq!(away_since(100).note_answer(at(200), millis(500)), Some(TimePoint::ZERO));
 }
 
-/// A watch that never gets an answer is given up, and a list read, before the host is in contact.
+/// A watch without an answer times out, and a list is read, before the host counts as in contact.
 #[test]
-fn watch_ends_before_contact() {
+fn watch_timeout_before_contact() {
     for bound in [1_000, 2_000, 3_000, 4_000, 5_000] {
         let contact = StoreContact::default();
         let wait = contact.watch_wait(TimePoint::ZERO, USUAL, millis(bound));
         assert!(wait <= USUAL);
-        let limit = contact.watch_timeout(wait);
-        assert!(limit + millis(200) <= millis(bound).max(millis(1_050)), "{limit:?} of {bound}");
+        let timeout = contact.watch_timeout(wait);
+        assert!(timeout + millis(200) <= millis(bound).max(millis(1_050)), "{timeout:?} of {bound}");
     }
 }
 
-/// The same if the connection went silent while changes were gathered, or while others were asked, after the last answer.
+/// A watch also times out early enough if the connection died after the last answer, while changes were batched or
+/// other hosts were asked.
 #[test]
-fn watch_ends_before_contact_after_pause() {
+fn watch_timeout_before_contact_after_pause() {
     for pause in [400, 800, 1_700, 2_500, 9_000] {
         let mut contact = StoreContact::default();
         contact.note_peer_answer(at(10_000));
         let now = at(10_000 + pause);
-        let limit = contact.watch_timeout(contact.watch_wait(now, USUAL, CONTACT));
-        assert!(limit + millis(200) <= millis((3_000 - pause.min(3_000)).max(1_050)), "{limit:?} after {pause}");
+        let timeout = contact.watch_timeout(contact.watch_wait(now, USUAL, CONTACT));
+        assert!(timeout + millis(200) <= millis((3_000 - pause.min(3_000)).max(1_050)), "{timeout:?} after {pause}");
     }
 }
 
-/// While the store is away nothing waits for changes: what counts is that it is back.
+/// While the store is away, a watch does not wait for changes, so that its return is detected at once.
 #[test]
-fn watch_brief_while_away() {
+fn watch_wait_while_away() {
     let contact = away_since(9_000);
     assert!(contact.watch_wait(at(9_700), USUAL, CONTACT) <= millis(100));
 }
 
-/// Short calls find the return early; now and then one waits for a store that answers slowly.
+/// Short timeouts detect the store's return early; every third call waits longer, for a store that answers slowly.
 #[test]
-fn limits_of_calls_in_a_row() {
+fn call_timeout_of_calls_in_a_row() {
     let mut contact = StoreContact::default();
-    let limits: Vec<u64> = (0..7)
+    let timeouts: Vec<u64> = (0..7)
         .map(|number| {
-            let limit = contact.call_timeout().as_millis() as u64;
+            let timeout = contact.call_timeout().as_millis() as u64;
             contact.note_failure(at(number));
-            limit
+            timeout
         })
         .collect();
-    assert_eq!(limits, [1_500, 700, 700, 1_500, 700, 700, 1_500]);
+    assert_eq!(timeouts, [1_500, 700, 700, 1_500, 700, 700, 1_500]);
     contact.note_answer(at(9_000), CONTACT);
     assert_eq!(contact.call_timeout(), millis(1_500));
 }
 
-/// A call that hung was its own pause.
+/// The delay counts from the start of the failed call, so that none follows a call that hung.
 #[test]
-fn pause_from_start_of_call() {
+fn retry_delay_from_start_of_call() {
     assert_eq!(away_since(9_000).retry_delay(at(9_010)), millis(240));
     assert_eq!(away_since(9_000).retry_delay(at(9_700)), Duration::ZERO);
     assert_eq!(StoreContact::default().retry_delay(at(9_000)), Duration::ZERO, "nothing failed");
--- a/crates/hollyhook_core/tests/gateway/main.rs
+++ b/crates/hollyhook_core/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! The decisions of the gateway, without a network: which load each answers, and what it decides.
+//! Tests of the decision logic behind the gateway, without a network.
 
 mod answers;
 mod attempts;
--- a/crates/hollyhook_core/tests/gateway/membership.rs
+++ b/crates/hollyhook_core/tests/gateway/membership.rs
@@ -9,13 +9,13 @@
 }
 
 #[test]
-fn missing_gone_at_once() {
+fn is_gone_at_once() {
     let mut membership = EndpointMembership::default();
     assert!(membership.is_gone(at(5), &id("a")));
 }
 
 #[test]
-fn missing_after_outage_kept() {
+fn is_gone_after_grace_period() {
     let mut membership = EndpointMembership::default();
     membership.platform_back(at(1_000));
     assert!(!membership.is_gone(at(1_000), &id("a")));
@@ -24,11 +24,11 @@
     membership.present(&id("a"));
     assert_eq!(membership.lapsed(at(3_250)), [id("b")]);
     assert!(membership.lapsed(at(9_000)).is_empty(), "each is returned once");
-    assert!(membership.is_gone(at(3_300), &id("a")), "the time to come back is over");
+    assert!(membership.is_gone(at(3_300), &id("a")), "the grace period is over");
 }
 
 #[test]
-fn second_outage_extends() {
+fn is_gone_after_second_outage() {
     let mut membership = EndpointMembership::default();
     membership.platform_back(at(1_000));
     assert!(!membership.is_gone(at(1_000), &id("a")));
@@ -39,31 +39,32 @@
 const LIVE: EndpointState = EndpointState::Live;
 const LEAVING: EndpointState = EndpointState::Leaving;
 
-/// What left before the platform came back from an older copy is in the copy, for as long as nobody renews it.
+/// An entry that was removed before the platform was restored from an older copy is in that copy again, until it
+/// expires because nobody renews it.
 #[test]
-fn gone_outdated_in_older_copy() {
+fn is_outdated_removed_entry() {
     let mut membership = EndpointMembership::default();
     assert!(membership.is_gone(at(1_000), &id("a")));
-    assert!(!membership.is_outdated(at(1_500), &id("a"), None, LIVE), "the platform is not older");
+    assert!(!membership.is_outdated(at(1_500), &id("a"), None, LIVE), "the platform was not restored");
     membership.platform_older(at(2_000));
     assert!(membership.is_outdated(at(2_000), &id("a"), None, LIVE));
-    assert!(!membership.is_outdated(at(2_000), &id("b"), None, LIVE), "nobody knows that it left");
-    assert!(!membership.is_outdated(at(7_000), &id("a"), None, LIVE), "somebody renews it");
+    assert!(!membership.is_outdated(at(2_000), &id("b"), None, LIVE), "not known to have left");
+    assert!(!membership.is_outdated(at(7_000), &id("a"), None, LIVE), "still listed after the expiry time, so it is renewed");
 }
 
 #[test]
-fn leaving_outdated_in_older_copy() {
+fn is_outdated_leaving_entry() {
     let mut membership = EndpointMembership::default();
-    assert!(!membership.is_outdated(at(1_000), &id("a"), Some(LEAVING), LIVE), "its own word, in order");
+    assert!(!membership.is_outdated(at(1_000), &id("a"), Some(LEAVING), LIVE), "its own later statement");
     membership.platform_older(at(2_000));
     assert!(membership.is_outdated(at(2_000), &id("a"), Some(LEAVING), LIVE));
     assert!(!membership.is_outdated(at(2_000), &id("a"), Some(LEAVING), LEAVING));
     assert!(!membership.is_outdated(at(2_000), &id("a"), Some(LIVE), LIVE));
 }
 
-/// One that went and came back since is there.
+/// An endpoint that was removed and then registered again is not outdated.
 #[test]
-fn returned_not_outdated_in_older_copy() {
+fn is_outdated_not_after_return() {
     let mut membership = EndpointMembership::default();
     assert!(membership.is_gone(at(1_000), &id("a")));
     membership.present(&id("a"));
--- a/crates/hollyhook_core/tests/gateway/stopping.rs
+++ b/crates/hollyhook_core/tests/gateway/stopping.rs
@@ -5,7 +5,7 @@
 const STREAM: RequestKind = RequestKind::Stream { is_resumable: true };
 
 #[test]
-fn phases_in_order() {
+fn phase_order() {
     let plan = StopPlan::new(Duration::from_secs(8));
     let phases: Vec<StopPhase> = (0..90).map(|step| plan.phase(Duration::from_millis(step * 100))).collect();
     assert!(phases.is_sorted());
@@ -13,17 +13,17 @@
     assert_eq!(phases.last(), Some(&StopPhase::Over));
 }
 
-/// Whatever call is begun when no caller is expected any more ends within the grace time: its caller gives up before that
-/// at the latest.
+/// A call that is admitted after the accept period ends within the usable grace period, at its caller's timeout at the
+/// latest.
 #[test]
-fn calls_begun_end_in_time() {
+fn is_admitted_call_ends_in_time() {
     for grace in [1, 2, 4, 8, 60] {
         let plan = StopPlan::new(Duration::from_secs(grace));
-        for passed in (0..grace * 1_000).step_by(10).map(Duration::from_millis) {
-            for patience in [100, 1_000, 8_000].map(Duration::from_millis) {
-                let is_taken = plan.is_admitted(RequestKind::NonIdempotent, patience, passed);
-                let is_right = passed < plan.accept_period() || passed + patience <= plan.usable_grace();
-                assert_eq!(is_taken, is_right, "{grace} s, {passed:?}, {patience:?}");
+        for elapsed in (0..grace * 1_000).step_by(10).map(Duration::from_millis) {
+            for timeout in [100, 1_000, 8_000].map(Duration::from_millis) {
+                let is_admitted_now = plan.is_admitted(RequestKind::NonIdempotent, timeout, elapsed);
+                let is_expected = elapsed < plan.accept_period() || elapsed + timeout <= plan.usable_grace();
+                assert_eq!(is_admitted_now, is_expected, "{grace} s, {elapsed:?}, {timeout:?}");
             }
         }
         assert!(plan.accept_period() <= plan.usable_grace());
@@ -31,11 +31,11 @@
     }
 }
 
-/// A stream of the usual six seconds that is begun still ends.
+/// An admitted stream of the usual six seconds ends within the usable grace period.
 #[test]
-fn streams_begun_end_in_time() {
+fn is_admitted_stream_ends_in_time() {
     let plan = StopPlan::new(Duration::from_secs(8));
-    let patience = Duration::from_secs(25);
-    let last = (0..8_000).map(Duration::from_millis).filter(|passed| plan.is_admitted(STREAM, patience, *passed)).max();
+    let timeout = Duration::from_secs(25);
+    let last = (0..8_000).map(Duration::from_millis).filter(|elapsed| plan.is_admitted(STREAM, timeout, *elapsed)).max();
     assert!(last.unwrap() + Duration::from_secs(6) < plan.usable_grace());
 }
