--- a/crates/hollyhook_core/tests/fuzz/store_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/store_fuzz.rs
@@ -233,7 +233,7 @@
 }
 
 fn run(defect: Defect, cases: u32, tally: &Tally) {
-    fuzz("store that comes back older", cases, &proptest::collection::vec(step(), 1..80), |steps| {
+    fuzz("store restored from an older copy", cases, &proptest::collection::vec(step(), 1..80), |steps| {
         let mut simulation = Simulation::new(defect);
         for step in &steps {
             simulation.step(step, tally);
@@ -249,7 +249,7 @@
     let tally = Tally::default();
     run(Defect::None, 2_000, &tally);
     let needed = ["restored", "history_gone", "older_refused", "watch_across_eras", "era_from_store", "era_from_host"];
-    tally.conclude("store that comes back older", &needed);
+    tally.conclude("store restored from an older copy", &needed);
 }
 
 /// The assertions detect when either rule that separates eras is left out.
