--- a/crates/hollyhook_core/tests/gateway/terms.rs
+++ b/crates/hollyhook_core/tests/gateway/terms.rs
@@ -43,7 +43,8 @@
     (1.5 * rate * SPAN_MS as f64 / 1_000.0 + 5.0) as usize
 }
 
-/// Hosts that share a limit together stay near it, with constant demand and with bursts after idle times.
+/// All hosts together stay near a limit, with constant demand and with bursts after idle times. Without shares, each host
+/// would send all its requests.
 #[test]
 fn rate_share_sum_within_limit() {
     let cases =
