--- a/crates/hollyhook_core/src/feed/store_contact.rs
+++ b/crates/hollyhook_core/src/feed/store_contact.rs
@@ -110,8 +110,7 @@
         if self.is_away() {
             return PROBE_WAIT;
         }
-        let most =
-            contact_bound.saturating_sub(WATCH_SLACK + READ_MARGIN).saturating_sub(now.since(self.answered_at));
+        let most = contact_bound.saturating_sub(WATCH_SLACK + READ_MARGIN).saturating_sub(now.since(self.answered_at));
         usual.min(most).max(PROBE_WAIT)
     }
 
--- a/crates/hollyhook_core/src/forward/answer_verdict.rs
+++ b/crates/hollyhook_core/src/forward/answer_verdict.rs
@@ -1,4 +1,4 @@
-use crate::{EndpointId, LoadReport, Name, RequestKind, AdvertisedTerms};
+use crate::{AdvertisedTerms, EndpointId, LoadReport, Name, RequestKind};
 
 /// The parts of an endpoint's HTTP answer head that hollyhook evaluates.
 #[derive(Debug, Clone, Default, PartialEq)]
--- a/crates/hollyhook_core/src/lib.rs
+++ b/crates/hollyhook_core/src/lib.rs
@@ -29,8 +29,8 @@
 pub use cursor::{CursorKey, CursorSeal, StreamCursor};
 pub use error::{Answer, Error, ErrorKind, Result, RunState, answer_for};
 pub use feed::{
-    EraTracker, EraVerdict, FeedChange, FeedLog, FeedUpdate, FeedPlan, FeedTopology, FeedTiming, SkipReason, HostRecord,
-    StoreContact, StoreRevision, is_helper_stale, snapshot_limit,
+    EraTracker, EraVerdict, FeedChange, FeedLog, FeedPlan, FeedTiming, FeedTopology, FeedUpdate, HostRecord,
+    SkipReason, StoreContact, StoreRevision, is_helper_stale, snapshot_limit,
 };
 pub use forward::{
     AnswerHead, AnswerVerdict, AttemptFailure, AttemptLedger, CallerHead, PromptSize, StopReason, judge_answer,
@@ -57,6 +57,6 @@
 };
 pub use stop::{StopPhase, StopPlan};
 pub use stream::{EventCutter, EventPiece, EventRelay, PieceVerdict, SilenceJudge, SilenceVerdict};
-pub use terms::{RateShare, AdvertisedTerms, TermsTable};
+pub use terms::{AdvertisedTerms, RateShare, TermsTable};
 pub use time::TimePoint;
 pub use trace::{RelayTrace, TraceEnd, TraceLine, TraceOutcome, TraceRun, TraceStart};
--- a/crates/hollyhook_core/tests/fuzz/store_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/store_fuzz.rs
@@ -78,7 +78,14 @@
         };
         let revision = StoreRevision::new(self.era, self.revision);
         let confirmed_until = TimePoint::ZERO;
-        Some(FeedUpdate { is_snapshot: after.is_none(), changes, revision, confirmed_until, grace_start: None, hops: 0 })
+        Some(FeedUpdate {
+            is_snapshot: after.is_none(),
+            changes,
+            revision,
+            confirmed_until,
+            grace_start: None,
+            hops: 0,
+        })
     }
 }
 
@@ -184,7 +191,10 @@
             tally.count(if answer.is_of_store { "era_from_store" } else { "era_from_host" });
         }
         let is_older = host.revision.is_some_and(|known| update.revision < known);
-        assert!(!is_older || update.revision.era >= host.eras.era(), "an update of an older era replaces newer objects");
+        assert!(
+            !is_older || update.revision.era >= host.eras.era(),
+            "an update of an older era replaces newer objects"
+        );
         host.apply(&update);
     }
 
--- a/crates/hollyhook_core/tests/gateway/feeding.rs
+++ b/crates/hollyhook_core/tests/gateway/feeding.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hollyhook_core::{
-    FeedChange, FeedLog, FeedUpdate, FeedPlan, FeedTopology, FeedTiming, Name, SkipReason, HostRecord, StoreContact,
+    FeedChange, FeedLog, FeedPlan, FeedTiming, FeedTopology, FeedUpdate, HostRecord, Name, SkipReason, StoreContact,
     StoreRevision, TimePoint, snapshot_limit,
 };
 
@@ -190,7 +190,9 @@
             logs[(turn + 1) % 3].apply(&passed_on(received.hops + 1, received));
         }
     }
-    assert!(logs.iter().filter_map(|log| log.update_after(Some(at(12)))).all(|received| received.confirmed_until == NOW));
+    assert!(
+        logs.iter().filter_map(|log| log.update_after(Some(at(12)))).all(|received| received.confirmed_until == NOW)
+    );
 }
 
 /// The bounds within which sites must act on changes: the shortest for which hosts share what they read, and those of
@@ -386,7 +388,8 @@
 
 /// The host that asks only the reader.
 fn standby_of(topologies: &[FeedTopology]) -> Name {
-    let is_standby = |topology: &FeedTopology| matches!(topology.plan(NOW), FeedPlan::Relay(sources) if sources.len() == 1);
+    let is_standby =
+        |topology: &FeedTopology| matches!(topology.plan(NOW), FeedPlan::Relay(sources) if sources.len() == 1);
     record(topologies.iter().position(is_standby).unwrap() as u16, "z0").host
 }
 
@@ -438,7 +441,10 @@
     }
     let others = topologies.iter().filter(|topology| is_reader(topology, after(1_000))).count();
     assert_eq!(others, 1, "the next host reads the store");
-    assert!(!sources_of_follower(&topologies[follower], after(9_000)).iter().any(|host| !lost.contains(host)), "the skipped hosts are sources again");
+    assert!(
+        !sources_of_follower(&topologies[follower], after(9_000)).iter().any(|host| !lost.contains(host)),
+        "the skipped hosts are sources again"
+    );
 }
 
 /// In an outage, every source reports that it has nothing newer. No host becomes the reader because of that.
--- a/crates/hollyhook_core/tests/gateway/membership.rs
+++ b/crates/hollyhook_core/tests/gateway/membership.rs
@@ -49,7 +49,10 @@
     membership.platform_older(at(2_000));
     assert!(membership.is_outdated(at(2_000), &id("a"), None, LIVE));
     assert!(!membership.is_outdated(at(2_000), &id("b"), None, LIVE), "not known to have left");
-    assert!(!membership.is_outdated(at(7_000), &id("a"), None, LIVE), "still listed after the expiry time, so it is renewed");
+    assert!(
+        !membership.is_outdated(at(7_000), &id("a"), None, LIVE),
+        "still listed after the expiry time, so it is renewed"
+    );
 }
 
 #[test]
--- a/crates/hollyhook_core/tests/gateway/stopping.rs
+++ b/crates/hollyhook_core/tests/gateway/stopping.rs
@@ -36,6 +36,7 @@
 fn is_admitted_stream_ends_in_time() {
     let plan = StopPlan::new(Duration::from_secs(8));
     let timeout = Duration::from_secs(25);
-    let last = (0..8_000).map(Duration::from_millis).filter(|elapsed| plan.is_admitted(STREAM, timeout, *elapsed)).max();
+    let last =
+        (0..8_000).map(Duration::from_millis).filter(|elapsed| plan.is_admitted(STREAM, timeout, *elapsed)).max();
     assert!(last.unwrap() + Duration::from_secs(6) < plan.usable_grace());
 }
--- a/crates/hollyhook_core/tests/gateway/terms.rs
+++ b/crates/hollyhook_core/tests/gateway/terms.rs
@@ -140,7 +140,10 @@
     table.upsert(record("i-1"));
     let query = RouteQuery::new("desk");
     assert!(table.terms_mut().extend_pause(NOW, &"i-1".into(), Duration::from_secs(3)));
-    assert!(!table.terms_mut().extend_pause(NOW, &"i-1".into(), Duration::from_secs(1)), "a shorter pause does not replace a longer one");
+    assert!(
+        !table.terms_mut().extend_pause(NOW, &"i-1".into(), Duration::from_secs(1)),
+        "a shorter pause does not replace a longer one"
+    );
     assert_eq!(table.held_back_for(after(1_000), &query), Some(Duration::from_secs(2)));
     assert!(!table.try_open(after(2_999), "i-1"));
     assert!(table.try_open(after(3_000), "i-1"));
--- a/crates/hollyhook_gateway/src/gateway/endpoint_directory.rs
+++ b/crates/hollyhook_gateway/src/gateway/endpoint_directory.rs
@@ -2,8 +2,8 @@
 use std::time::Duration;
 
 use hollyhook_core::{
-    AttemptFailure, EndpointId, EndpointRecord, EndpointState, EndpointTable, HomeCounts, LoadReport, Name, Result,
-    RouteQuery, SiteIndex, SiteLedger, AdvertisedTerms, StopReason, TimePoint, ZoneName,
+    AdvertisedTerms, AttemptFailure, EndpointId, EndpointRecord, EndpointState, EndpointTable, HomeCounts, LoadReport,
+    Name, Result, RouteQuery, SiteIndex, SiteLedger, StopReason, TimePoint, ZoneName,
 };
 use hollyhook_kernel::{ServiceRegistry, TimerService};
 use hollyhook_telemetry::MetricBoard;
--- a/crates/hollyhook_gateway/src/gateway/gateway_process.rs
+++ b/crates/hollyhook_gateway/src/gateway/gateway_process.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use async_std::task;
-use hollyhook_core::{Error, ErrorKind, Name, Result, HostRecord, ZoneName};
+use hollyhook_core::{Error, ErrorKind, HostRecord, Name, Result, ZoneName};
 use hollyhook_kernel::ServiceRegistry;
 use hollyhook_settings::GatewaySettings;
 use hollyhook_wire::listen;
--- a/crates/hollyhook_gateway/src/peer/feed_board.rs
+++ b/crates/hollyhook_gateway/src/peer/feed_board.rs
@@ -4,7 +4,7 @@
 
 use futures::channel::oneshot;
 use hollyhook_core::{
-    EraTracker, EraVerdict, FeedLog, FeedUpdate, FeedPlan, FeedTopology, Name, SkipReason, HostRecord, StoreRevision,
+    EraTracker, EraVerdict, FeedLog, FeedPlan, FeedTopology, FeedUpdate, HostRecord, Name, SkipReason, StoreRevision,
     TimePoint, ZoneName, snapshot_limit,
 };
 use hollyhook_platform::{ObjectKind, StoreObject};
@@ -108,7 +108,10 @@
 
     /// Takes news in.
     pub(crate) fn take(&self, kind: ObjectKind, news: &FeedUpdate<StoreObject>) {
-        lock(&self.logs).entry(kind).or_insert_with(|| FeedLog::default().snapshot_limit(self.snapshot_limit)).apply(news);
+        lock(&self.logs)
+            .entry(kind)
+            .or_insert_with(|| FeedLog::default().snapshot_limit(self.snapshot_limit))
+            .apply(news);
         if news.is_empty() {
             return;
         }
--- a/crates/hollyhook_gateway/src/peer/peer_client.rs
+++ b/crates/hollyhook_gateway/src/peer/peer_client.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use hollyhook_core::{FeedUpdate, FeedTiming, SkipReason, HostRecord, StoreRevision, TimePoint, is_helper_stale};
+use hollyhook_core::{FeedTiming, FeedUpdate, HostRecord, SkipReason, StoreRevision, TimePoint, is_helper_stale};
 use hollyhook_kernel::TimerService;
 use hollyhook_platform::{ObjectKind, StoreObject};
 use http::{Method, StatusCode};
--- a/crates/hollyhook_gateway/src/store/endpoint_watch.rs
+++ b/crates/hollyhook_gateway/src/store/endpoint_watch.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use async_std::task;
-use hollyhook_core::{EndpointMembership, EndpointRecord, FeedUpdate, FeedPlan, Name, StoreRevision, TimePoint};
+use hollyhook_core::{EndpointMembership, EndpointRecord, FeedPlan, FeedUpdate, Name, StoreRevision, TimePoint};
 use hollyhook_platform::{ObjectKind, StoreObject};
 
 use super::{FeedReader, QuarantineWriter, StoreError};
@@ -230,7 +230,11 @@
 }
 
 /// Forgets the entries that did not come back after the store's return, when that is certain.
-async fn forget_when_due(context: Arc<GatewayContext>, membership: Arc<Mutex<EndpointMembership>>, grace_start: TimePoint) {
+async fn forget_when_due(
+    context: Arc<GatewayContext>,
+    membership: Arc<Mutex<EndpointMembership>>,
+    grace_start: TimePoint,
+) {
     let due = grace_start + EndpointMembership::RETURN_GRACE;
     context.timer.wait(due.since(context.timer.now())).await;
     let lapsed = lock(&membership).lapsed(context.timer.now());
--- a/crates/hollyhook_gateway/src/store/feed_reader.rs
+++ b/crates/hollyhook_gateway/src/store/feed_reader.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use hollyhook_core::{
-    EraVerdict, FeedChange, FeedUpdate, FeedPlan, Name, SkipReason, HostRecord, StoreContact, StoreRevision, TimePoint,
+    EraVerdict, FeedChange, FeedPlan, FeedUpdate, HostRecord, Name, SkipReason, StoreContact, StoreRevision, TimePoint,
 };
 use hollyhook_platform::{ObjectKind, StoreChange, StoreObject};
 
--- a/crates/hollyhook_gateway/src/store/store_client.rs
+++ b/crates/hollyhook_gateway/src/store/store_client.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hollyhook_core::{CrashRecords, EraVerdict, Name, RolloutOrder, HostRecord, StoreRevision};
+use hollyhook_core::{CrashRecords, EraVerdict, HostRecord, Name, RolloutOrder, StoreRevision};
 use hollyhook_kernel::TimerService;
 use hollyhook_platform::{ObjectKind, RolloutStatus, StoreChange, StoreFault, StoreObject, StorePage, TrialReport};
 use http::{Method, Response, StatusCode};
