--- a/crates/hollyhook_core/src/feed/feed_timing.rs
+++ b/crates/hollyhook_core/src/feed/feed_timing.rs
@@ -29,8 +29,8 @@
 ///
 /// All times follow from the bound within which a host must act on a change that the store acknowledged. A leader may
 /// lose the store just before a change. A host that asks this leader detects that its copy is stale at most
-/// [`peer_wait`](Self::peer_wait) after it became so. The host then asks a second host, which may time out, and reads the
-/// store itself, all within the bound.
+/// [`peer_wait`](Self::peer_wait) after it became so. The host then asks a second host, which may time out, and reads
+/// the store itself, all within the bound.
 ///
 /// ```
 /// use hollyhook_core::FeedTiming;
--- a/crates/hollyhook_core/tests/gateway/membership.rs
+++ b/crates/hollyhook_core/tests/gateway/membership.rs
@@ -9,13 +9,13 @@
 }
 
 #[test]
-fn is_gone_at_once() {
+fn mark_missing_at_once() {
     let mut membership = EndpointMembership::default();
     assert!(membership.is_gone(at(5), &id("a")));
 }
 
 #[test]
-fn is_gone_after_grace_period() {
+fn mark_missing_in_grace_period() {
     let mut membership = EndpointMembership::default();
     membership.platform_back(at(1_000));
     assert!(!membership.is_gone(at(1_000), &id("a")));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn is_gone_after_second_outage() {
+fn mark_missing_after_second_outage() {
     let mut membership = EndpointMembership::default();
     membership.platform_back(at(1_000));
     assert!(!membership.is_gone(at(1_000), &id("a")));
--- a/crates/hollyhook_core/tests/gateway/terms.rs
+++ b/crates/hollyhook_core/tests/gateway/terms.rs
@@ -43,8 +43,8 @@
     (1.5 * rate * SPAN_MS as f64 / 1_000.0 + 5.0) as usize
 }
 
-/// All hosts together stay near a limit, with constant demand and with bursts after idle times. Without shares, each host
-/// would send all its requests.
+/// All hosts together stay near a limit, with constant demand and with bursts after idle times. Without shares, each
+/// host would send all its requests.
 #[test]
 fn rate_share_sum_within_limit() {
     let cases =
