--- a/crates/hollyhook_core/tests/gateway/feeding.rs
+++ b/crates/hollyhook_core/tests/gateway/feeding.rs
@@ -95,7 +95,7 @@
     assert!(!log.update_after(Some(at(30))).unwrap().is_snapshot);
 }
 
-/// The revisions of another store are not comparable, so that the first revision of its snapshot starts a new history.
+/// The revisions of another store are not comparable, so that its snapshot starts a new history.
 #[test]
 fn update_after_snapshot_of_other_store() {
     let mut log = log();
