--- a/crates/hollyhook_core/src/lib.rs
+++ b/crates/hollyhook_core/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of hollyhook, as state machines without input, output, clock or thread.
+//! The decision logic of hollyhook, as state machines without I/O, clocks or threads.
 //!
-//! Every part takes `(now, event)` and returns actions or an answer. Time is a [`TimePoint`] that the driver
-//! supplies, random numbers come from a seeded source that the driver supplies. The daemon, the fuzz tests and
-//! the trace replay drive the same code through this boundary; `docs/design/boundary.md` describes it.
+//! Each state machine takes `(now, event)` and returns actions or an answer. The driver supplies the time, as a
+//! [`TimePoint`], and a seeded source of random numbers. The daemon, the fuzz tests and the trace replay drive the same
+//! code through this interface, which `docs/design/boundary.md` describes.
 
 mod call;
 mod cursor;
@@ -29,8 +29,8 @@
 pub use cursor::{CursorKey, CursorSeal, StreamCursor};
 pub use error::{Answer, Error, ErrorKind, Result, RunState, answer_for};
 pub use feed::{
-    EraLedger, EraVerdict, FeedChange, FeedLog, FeedNews, FeedPlan, FeedRoster, FeedTiming, PassReason, RosterMember,
-    StoreContact, StoreRevision, is_stale_help, most_told,
+    EraTracker, EraVerdict, FeedChange, FeedLog, FeedPlan, FeedTiming, FeedTopology, FeedUpdate, HostRecord,
+    SkipReason, StoreContact, StoreRevision, is_helper_stale, snapshot_limit,
 };
 pub use forward::{
     AnswerHead, AnswerVerdict, AttemptFailure, AttemptLedger, CallerHead, PromptSize, StopReason, judge_answer,
@@ -57,6 +57,6 @@
 };
 pub use stop::{StopPhase, StopPlan};
 pub use stream::{EventSequencer, EventSplitter, LivenessChecker, LivenessVerdict, RawEvent, SequenceVerdict};
-pub use terms::{RateShare, StatedTerms, TermsLedger};
+pub use terms::{AdvertisedTerms, RateShare, TermsTable};
 pub use time::TimePoint;
 pub use trace::{RelayTrace, TraceEnd, TraceLine, TraceOutcome, TraceReplay, TraceStart};
--- a/crates/hollyhook_core/src/terms/mod.rs
+++ b/crates/hollyhook_core/src/terms/mod.rs
@@ -1,9 +1,9 @@
-//! What endpoints say of themselves in their answers, on which terms they take requests.
+//! The terms on which endpoints take requests, as they advertise them in their answers.
 
+mod advertised_terms;
 mod rate_share;
-mod stated_terms;
-mod terms_ledger;
+mod terms_table;
 
+pub use advertised_terms::AdvertisedTerms;
 pub use rate_share::RateShare;
-pub use stated_terms::StatedTerms;
-pub use terms_ledger::TermsLedger;
+pub use terms_table::TermsTable;
