--- a/crates/hollyhook_gateway/src/front/mod.rs
+++ b/crates/hollyhook_gateway/src/front/mod.rs
@@ -12,4 +12,4 @@
 pub(crate) use caller_request::CallerRequest;
 pub(crate) use front_server::{ACCEPT_PAUSE, serve_callers};
 pub(crate) use own_answer::{AnswerBody, own_answer, whole_body};
-pub(crate) use status_server::{answer_metrics, answer_ready, serve_status};
+pub(crate) use status_server::{metrics_response, readiness_response, serve_status};
--- a/crates/hollyhook_gateway/src/front/status_server.rs
+++ b/crates/hollyhook_gateway/src/front/status_server.rs
@@ -43,7 +43,7 @@
 }
 
 /// Whether this host takes callers, as the platform's balancer asks it.
-pub(crate) fn answer_ready(context: &GatewayContext, path: &str) -> Response<Full<Bytes>> {
+pub(crate) fn readiness_response(context: &GatewayContext, path: &str) -> Response<Full<Bytes>> {
     if !hollyhook_platform::is_ready_path(path) {
         return empty(StatusCode::NOT_FOUND);
     }
@@ -51,7 +51,7 @@
 }
 
 /// Counters and histograms.
-pub(crate) fn answer_metrics(context: &GatewayContext, path: &str) -> Response<Full<Bytes>> {
+pub(crate) fn metrics_response(context: &GatewayContext, path: &str) -> Response<Full<Bytes>> {
     if path != METRICS_PATH {
         return empty(StatusCode::NOT_FOUND);
     }
--- a/crates/hollyhook_gateway/src/gateway/endpoint_directory.rs
+++ b/crates/hollyhook_gateway/src/gateway/endpoint_directory.rs
@@ -103,7 +103,7 @@
         for id in displaced {
             self.note_lost(table, &id);
             table.remove(&id);
-            self.pool.forget(&id);
+            self.pool.close_idle(&id);
             tracing::info!(endpoint = %id, by = %record.id, address = %record.address, "endpoint.displaced");
         }
         let known = table.get(&record.id).map(|known| known.state);
@@ -116,7 +116,7 @@
                 address = %record.address, state = ?record.state, "endpoint.state");
         }
         if record.state == EndpointState::Leaving {
-            self.pool.forget(&record.id);
+            self.pool.close_idle(&record.id);
         }
     }
 
@@ -126,7 +126,7 @@
         for id in table.registered_as(entry) {
             self.note_lost(&table, &id);
             table.remove(&id);
-            self.pool.forget(&id);
+            self.pool.close_idle(&id);
             self.board.count("endpoints_gone");
             tracing::info!(endpoint = %id, reason, "endpoint.gone");
         }
@@ -171,7 +171,7 @@
         if !self.table().leave(self.timer.now(), id) {
             return;
         }
-        self.pool.forget(id);
+        self.pool.close_idle(id);
         tracing::info!(endpoint = %id, known_ms = self.known_ms(), "endpoint.leaving");
     }
 
@@ -271,12 +271,12 @@
             }
             Some(AttemptFailure::WrongIncarnation) => {
                 table.remove(id);
-                self.pool.forget(id);
+                self.pool.close_idle(id);
             }
             Some(failure) if failure.is_loss() => {
                 table.failed(self.timer.now(), id);
                 tracing::info!(endpoint = %id, failure = failure.as_str(), "endpoint.ejected");
-                self.pool.forget(id);
+                self.pool.close_idle(id);
             }
             Some(AttemptFailure::Rejected | AttemptFailure::Failed | AttemptFailure::Garbled) => {
                 table.answered(self.timer.now(), id, true);
--- a/crates/hollyhook_gateway/src/gateway/gateway_process.rs
+++ b/crates/hollyhook_gateway/src/gateway/gateway_process.rs
@@ -9,7 +9,7 @@
 use hollyhook_wire::listen;
 
 use super::GatewayContext;
-use crate::front::{answer_metrics, answer_ready, serve_callers, serve_status};
+use crate::front::{metrics_response, readiness_response, serve_callers, serve_status};
 use crate::peer::{HostRegister, serve_peers};
 use crate::store::{EndpointWatch, RolloutWatch, SiteWatch};
 
@@ -42,13 +42,13 @@
         let address = front.local_addr().unwrap_or(settings.listen);
         let ready_address = ready.local_addr().unwrap_or(settings.ready_listen);
         task::spawn(serve_callers(front, Arc::clone(&context)));
-        task::spawn(serve_status(ready, Arc::clone(&context), answer_ready));
+        task::spawn(serve_status(ready, Arc::clone(&context), readiness_response));
         let metrics_address = serve_metrics(settings, &context)?;
         share_feed(settings, &context)?;
         task::spawn(SiteWatch::new(Arc::clone(&context)).run());
         task::spawn(EndpointWatch::new(Arc::clone(&context)).run());
         task::spawn(RolloutWatch::new(Arc::clone(&context)).run());
-        task::spawn(prune_pool(Arc::clone(&context)));
+        task::spawn(close_expired_connections(Arc::clone(&context)));
         tracing::info!(host = %context.host, zone = %context.zone, listen = %settings.listen, store = %settings.store,
             "gateway.started");
         Ok(Self { context, address, ready_address, metrics_address })
@@ -102,7 +102,7 @@
     };
     let listener = bind(address, "metrics_listen")?;
     let address = listener.local_addr().unwrap_or(address);
-    task::spawn(serve_status(listener, Arc::clone(context), answer_metrics));
+    task::spawn(serve_status(listener, Arc::clone(context), metrics_response));
     Ok(Some(address))
 }
 
@@ -131,9 +131,9 @@
     })
 }
 
-async fn prune_pool(context: Arc<GatewayContext>) {
+async fn close_expired_connections(context: Arc<GatewayContext>) {
     loop {
         context.timer.wait(PRUNE_INTERVAL).await;
-        context.pool.prune();
+        context.pool.close_expired();
     }
 }
--- a/crates/hollyhook_gateway/src/net/kept_line.rs
+++ b/crates/hollyhook_gateway/src/net/persistent_client.rs
@@ -18,10 +18,10 @@
 
 /// Why a call gave nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct LineFault(pub(crate) &'static str);
+pub(crate) struct ExchangeError(pub(crate) &'static str);
 
 /// Calls one server after another over one kept connection.
-pub(crate) struct KeptLine {
+pub(crate) struct PersistentClient {
     timer: TimerService,
     connection: Option<LineConnection>,
 }
@@ -31,7 +31,7 @@
     inner: PooledConnection,
 }
 
-impl KeptLine {
+impl PersistentClient {
     pub(crate) fn new(timer: TimerService) -> Self {
         Self { timer, connection: None }
     }
@@ -42,13 +42,13 @@
         address: SocketAddr,
         request: Request<Full<Bytes>>,
         limit: Duration,
-    ) -> Result<Response<Bytes>, LineFault> {
+    ) -> Result<Response<Bytes>, ExchangeError> {
         let timer = self.timer.clone();
         let outcome = timer.within(limit, self.exchange(address, request)).await;
         outcome.unwrap_or_else(|| {
             // A connection on which an answer was lost returns nothing further.
             self.connection = None;
-            Err(LineFault("no answer in time"))
+            Err(ExchangeError("no answer in time"))
         })
     }
 
@@ -56,42 +56,42 @@
         &mut self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Bytes>, LineFault> {
+    ) -> Result<Response<Bytes>, ExchangeError> {
         let kept = self.connection.take().filter(|kept| kept.address == address && kept.inner.is_ready());
         let mut connection = match kept {
             Some(connection) => connection,
             None => self.connect(address).await?,
         };
-        let response = connection.inner.send(request).await.map_err(|_fault| LineFault("the connection broke"))?;
+        let response = connection.inner.send(request).await.map_err(|_fault| ExchangeError("the connection broke"))?;
         let (parts, body) = response.into_parts();
         let body = Limited::new(body, MOST_BYTES).collect().await;
-        let body = body.map_err(|_error| LineFault("the answer was cut off"))?.to_bytes();
+        let body = body.map_err(|_error| ExchangeError("the answer was cut off"))?.to_bytes();
         self.connection = Some(connection);
         Ok(Response::from_parts(parts, body))
     }
 
-    async fn connect(&self, address: SocketAddr) -> Result<LineConnection, LineFault> {
+    async fn connect(&self, address: SocketAddr) -> Result<LineConnection, ExchangeError> {
         let stream = dial(&self.timer, address, CONNECT_TIMEOUT).await;
-        let stream = stream.map_err(|_error| LineFault("no connection"))?;
-        let inner = PooledConnection::start(stream).await.map_err(|_error| LineFault("no connection"))?;
+        let stream = stream.map_err(|_error| ExchangeError("no connection"))?;
+        let inner = PooledConnection::start(stream).await.map_err(|_error| ExchangeError("no connection"))?;
         Ok(LineConnection { address, inner })
     }
 }
 
-impl fmt::Debug for KeptLine {
+impl fmt::Debug for PersistentClient {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("KeptLine").finish_non_exhaustive()
     }
 }
 
 /// A request for a path; the body is empty for most.
-pub(crate) fn line_request(
+pub(crate) fn build_request(
     method: http::Method,
     address: SocketAddr,
     path: &str,
     body: impl Into<Bytes>,
-) -> Result<Request<Full<Bytes>>, LineFault> {
+) -> Result<Request<Full<Bytes>>, ExchangeError> {
     let builder = Request::builder().method(method).uri(path).header(header::HOST, address.to_string());
     let builder = builder.header(header::CONTENT_TYPE, "application/json");
-    builder.body(Full::new(body.into())).map_err(|_error| LineFault("the path is not valid"))
+    builder.body(Full::new(body.into())).map_err(|_error| ExchangeError("the path is not valid"))
 }
--- a/crates/hollyhook_gateway/src/peer/peer_client.rs
+++ b/crates/hollyhook_gateway/src/peer/peer_client.rs
@@ -6,7 +6,7 @@
 use http::{Method, StatusCode};
 
 use super::feed_message::{FeedMessage, FeedQuery};
-use crate::net::{KeptLine, LineFault, line_request};
+use crate::net::{ExchangeError, PersistentClient, build_request};
 
 /// Why another host is asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -61,8 +61,8 @@
     }
 }
 
-impl From<LineFault> for PeerFault {
-    fn from(fault: LineFault) -> Self {
+impl From<ExchangeError> for PeerFault {
+    fn from(fault: ExchangeError) -> Self {
         Self { reason: PassReason::Lost, why: fault.0 }
     }
 }
@@ -81,12 +81,12 @@
 /// Asks other hosts over one kept connection.
 #[derive(Debug)]
 pub(crate) struct PeerClient {
-    line: KeptLine,
+    client: PersistentClient,
 }
 
 impl PeerClient {
     pub(crate) fn new(timer: TimerService) -> Self {
-        Self { line: KeptLine::new(timer) }
+        Self { client: PersistentClient::new(timer) }
     }
 
     /// What changed after a revision, by what a host knows of the store.
@@ -102,13 +102,13 @@
         let PeerQuestion { role, kind, after, timing, asked_at } = question;
         let wait = role.wait(timing);
         let query = FeedQuery { kind, after, wait };
-        let request = line_request(Method::GET, host.address, &query.to_path(), "")?;
-        let response = self.line.call(host.address, request, role.limit(timing)).await?;
+        let request = build_request(Method::GET, host.address, &query.to_path(), "")?;
+        let response = self.client.call(host.address, request, role.limit(timing)).await?;
         if response.status() != StatusCode::OK {
             return Err(PeerFault::outdated("it does not read the store"));
         }
         let message: FeedMessage =
-            serde_json::from_slice(response.body()).map_err(|_error| LineFault("it can't be understood"))?;
+            serde_json::from_slice(response.body()).map_err(|_error| ExchangeError("it can't be understood"))?;
         if role.is_too_old(timing, &message) {
             return Err(PeerFault::outdated("what it knows is too old"));
         }
--- a/crates/hollyhook_gateway/src/pool/connection_pool.rs
+++ b/crates/hollyhook_gateway/src/pool/connection_pool.rs
@@ -82,12 +82,12 @@
     }
 
     /// Closes the idle connections to an endpoint that is gone or silent.
-    pub(crate) fn forget(&self, id: &str) {
+    pub(crate) fn close_idle(&self, id: &str) {
         lock(&self.idle).remove(id);
     }
 
     /// Closes what its peer will close soon.
-    pub(crate) fn prune(&self) {
+    pub(crate) fn close_expired(&self) {
         let now = self.timer.now();
         let mut idle = lock(&self.idle);
         for connections in idle.values_mut() {
--- a/crates/hollyhook_gateway/src/store/store_client.rs
+++ b/crates/hollyhook_gateway/src/store/store_client.rs
@@ -10,7 +10,7 @@
 use http::{Method, Response, StatusCode};
 
 use crate::gateway::GatewayContext;
-use crate::net::{KeptLine, LineFault, line_request};
+use crate::net::{ExchangeError, PersistentClient, build_request};
 use crate::peer::FeedBoard;
 
 /// How long a call about hosts may take; nobody waits for it.
@@ -43,15 +43,15 @@
     }
 }
 
-impl From<LineFault> for StoreError {
-    fn from(fault: LineFault) -> Self {
+impl From<ExchangeError> for StoreError {
+    fn from(fault: ExchangeError) -> Self {
         Self::Away(fault.0)
     }
 }
 
 /// Calls the platform's store over one kept connection.
 pub(crate) struct StoreClient {
-    line: KeptLine,
+    client: PersistentClient,
     /// Where the eras of the store are known that others heard of.
     feed: Arc<FeedBoard>,
     /// Where the store is now.
@@ -67,7 +67,7 @@
     pub(crate) fn new(context: &Arc<GatewayContext>) -> Self {
         let of_address = Arc::clone(context);
         Self {
-            line: KeptLine::new(TimerService::clone(&context.timer)),
+            client: PersistentClient::new(TimerService::clone(&context.timer)),
             feed: Arc::clone(&context.feed),
             address: Box::new(move || of_address.store_address()),
             listed_at: None,
@@ -242,8 +242,8 @@
         limit: Duration,
     ) -> Result<(u64, Bytes), StoreError> {
         let address = (self.address)();
-        let request = line_request(method, address, path, body)?;
-        let response = self.line.call(address, request, limit).await?;
+        let request = build_request(method, address, path, body)?;
+        let response = self.client.call(address, request, limit).await?;
         let era = self.judge_era(&response)?;
         match response.status() {
             StatusCode::OK | StatusCode::CREATED => Ok((era, response.into_body())),
