--- a/crates/hollyhook_gateway/src/forward/attempt.rs
+++ b/crates/hollyhook_gateway/src/forward/attempt.rs
@@ -11,19 +11,19 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 
-use crate::front::{AnswerBody, CallerRequest, whole_body};
+use crate::front::{CallerRequest, ResponseBody, full_body};
 use crate::gateway::GatewayContext;
-use crate::pool::{PooledConnection, SendFault, keep_time};
+use crate::pool::{PooledConnection, SendError, keep_alive_time};
 
-/// How long a connection to an endpoint may take. Endpoints accept within a few milliseconds; a partition or a dead
-/// machine says nothing.
+/// Time limit for connecting to an endpoint. A live endpoint accepts within a few milliseconds; a partitioned or dead
+/// machine never replies, so that only the limit ends the attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Where an endpoint is.
+/// Address and identity of the endpoint that an attempt is sent to.
 #[derive(Debug, Clone)]
 pub(super) struct EndpointTarget {
     pub(super) id: EndpointId,
-    /// The name that it answers to.
+    /// Name that the endpoint registers under; a response that names another endpoint is not from this one.
     pub(super) entry: Name,
     pub(super) address: SocketAddr,
     pub(super) zone: ZoneName,
@@ -42,31 +42,32 @@
     }
 }
 
-/// A place taken at an endpoint; given back when dropped.
+/// A concurrency slot reserved at an endpoint; released when dropped.
 #[derive(Debug)]
-pub(super) struct EndpointPlace {
+pub(super) struct EndpointSlot {
     context: Arc<GatewayContext>,
     pub(super) target: EndpointTarget,
-    /// Requests of this host that were open there when it was chosen.
+    /// Requests that this host had open at the endpoint when the endpoint was chosen.
     pub(super) open: u32,
-    /// How old what the host knew of endpoints was then, in milliseconds.
+    /// Age of this host's endpoint list when the endpoint was chosen, in milliseconds; `None` before the first list.
     pub(super) known_ms: Option<u64>,
 }
 
-impl EndpointPlace {
-    /// Takes a place at any endpoint that a query allows; none if none takes a request now.
-    pub(super) fn take_any(context: &Arc<GatewayContext>, query: &RouteQuery<'_>) -> Option<Self> {
+impl EndpointSlot {
+    /// Chooses an endpoint that matches the query and reserves a slot there; `None` if no endpoint admits a request
+    /// now.
+    pub(super) fn reserve_any(context: &Arc<GatewayContext>, query: &RouteQuery<'_>) -> Option<Self> {
         let record = context.endpoints.open_any(query)?;
-        Some(Self::taken(context, &record))
+        Some(Self::new(context, &record))
     }
 
-    /// Takes a place at an endpoint that was chosen; none if it takes no request now.
-    pub(super) fn take(context: &Arc<GatewayContext>, record: &EndpointRecord) -> Option<Self> {
-        context.endpoints.try_open(&record.id).then(|| Self::taken(context, record))
+    /// Reserves a slot at a given endpoint; `None` if the endpoint admits no request now.
+    pub(super) fn reserve(context: &Arc<GatewayContext>, record: &EndpointRecord) -> Option<Self> {
+        context.endpoints.try_open(&record.id).then(|| Self::new(context, record))
     }
 
-    /// A place that was taken.
-    fn taken(context: &Arc<GatewayContext>, record: &EndpointRecord) -> Self {
+    /// Wraps a slot that the endpoint table has already counted as open.
+    fn new(context: &Arc<GatewayContext>, record: &EndpointRecord) -> Self {
         let known_ms = context.endpoints.known_ms();
         Self { context: Arc::clone(context), target: EndpointTarget::from(record), open: record.open, known_ms }
     }
@@ -76,92 +77,95 @@
     }
 }
 
-impl Drop for EndpointPlace {
+impl Drop for EndpointSlot {
     fn drop(&mut self) {
         self.context.endpoints.table().closed(&self.target.id);
     }
 }
 
-/// An endpoint's answer whose head has arrived.
+/// An endpoint's response whose head has arrived and whose body is still to be read.
 #[derive(Debug)]
-pub(super) struct OpenAnswer {
+pub(super) struct OpenResponse {
     pub(super) head: AnswerHead,
     pub(super) parts: Parts,
     pub(super) body: Incoming,
     connection: PooledConnection,
-    /// When its request was sent.
+    /// When the request was sent.
     sent_at: TimePoint,
 }
 
-impl OpenAnswer {
-    /// Keeps the connection for the next request; only after the body was read to its end.
+impl OpenResponse {
+    /// Returns the connection to the pool. The body must have been read to its end.
     pub(super) fn release(self, context: &GatewayContext, id: &EndpointId) {
-        let keep = keep_time(&self.parts.headers);
+        let keep = keep_alive_time(&self.parts.headers);
         context.pool.put(id, self.connection, keep);
     }
 
-    /// Reads the body to its end and keeps the connection.
+    /// Reads the body to its end and returns the connection to the pool.
     ///
     /// # Errors
     ///
-    /// `Broken` if the answer breaks off.
-    pub(super) async fn read_whole(
+    /// `Broken` if the connection fails before the body is complete.
+    pub(super) async fn read_to_end(
         self,
         context: &GatewayContext,
         id: &EndpointId,
-    ) -> Result<WholeAnswer, AttemptFailure> {
+    ) -> Result<BufferedResponse, AttemptFailure> {
         let Self { parts, body, connection, .. } = self;
         let body = body.collect().await.map_err(|_error| AttemptFailure::Broken)?.to_bytes();
-        context.pool.put(id, connection, keep_time(&parts.headers));
-        Ok(WholeAnswer { parts, body })
+        context.pool.put(id, connection, keep_alive_time(&parts.headers));
+        Ok(BufferedResponse { parts, body })
     }
 }
 
-/// An endpoint's answer that was read whole.
+/// An endpoint's response with its whole body in memory.
 #[derive(Debug)]
-pub(super) struct WholeAnswer {
+pub(super) struct BufferedResponse {
     pub(super) parts: Parts,
     pub(super) body: Bytes,
 }
 
-impl WholeAnswer {
-    /// The answer as the caller gets it: status, body and signature unchanged.
-    pub(super) fn into_response(self) -> Response<AnswerBody> {
+impl BufferedResponse {
+    /// Converts to the response sent to the caller; status, body and signature stay unchanged.
+    pub(super) fn into_response(self) -> Response<ResponseBody> {
         let mut parts = self.parts;
         hollyhook_platform::remove_hop_headers(&mut parts.headers);
         if !self.body.is_empty() {
-            // The body is framed anew, by its real length. Without one, the header tells what HEAD asks for.
+            // The body is framed again by its real length. If it is empty, the header is kept: it may be the length
+            // that a HEAD request asks for.
             parts.headers.remove(CONTENT_LENGTH);
         }
-        Response::from_parts(parts, whole_body(self.body))
+        Response::from_parts(parts, full_body(self.body))
     }
 }
 
-/// Sends a caller's request to an endpoint and waits for the head of the answer.
+/// Sends a caller's request to an endpoint and waits for the head of the response.
 pub(super) async fn send_attempt(
     context: &GatewayContext,
     caller: &CallerRequest,
     target: &EndpointTarget,
     headers: &AttemptHeaders,
-) -> Result<OpenAnswer, AttemptFailure> {
+) -> Result<OpenResponse, AttemptFailure> {
     let mut request = Request::new(Full::new(caller.body.clone()));
     *request.method_mut() = caller.method.clone();
     *request.uri_mut() = origin_form(caller);
     *request.headers_mut() = caller.headers.clone();
     hollyhook_platform::set_attempt_headers(request.headers_mut(), headers);
-    let answer = send(context, target, request).await?;
-    if answer.head.is_from(&target.entry) && answer.head.terms.rate_limit.is_none() {
-        context.endpoints.note_unlimited(&target.id, answer.sent_at);
+    let response = send(context, target, request).await?;
+    if response.head.is_from(&target.entry) && response.head.terms.rate_limit.is_none() {
+        context.endpoints.note_unlimited(&target.id, response.sent_at);
     }
-    Ok(answer)
+    Ok(response)
 }
 
-/// Sends any request to an endpoint: on a kept connection, or on a new one if there is none or it was closed.
+/// Sends a request to an endpoint on a pooled connection, or on a new one if none is pooled.
+///
+/// A request that a closed pooled connection did not send is sent again on another connection.
 pub(super) async fn send(
     context: &GatewayContext,
     target: &EndpointTarget,
     mut request: Request<Full<Bytes>>,
-) -> Result<OpenAnswer, AttemptFailure> {
+) -> Result<OpenResponse, AttemptFailure> {
     loop {
         let kept = context.pool.take(&target.id);
         let is_kept = kept.is_some();
@@ -177,27 +181,28 @@
                 if head.is_from(&target.entry) {
                     context.endpoints.note_terms(&target.id, head.terms);
                 }
-                return Ok(OpenAnswer { head, parts, body, connection, sent_at });
+                return Ok(OpenResponse { head, parts, body, connection, sent_at });
             }
-            Err(SendFault::Unsent(unsent)) if is_kept => request = *unsent,
-            Err(SendFault::Unsent(_)) => return Err(AttemptFailure::NotConnected),
-            Err(SendFault::Garbled) => return Err(AttemptFailure::Garbled),
-            Err(SendFault::Broken) => return Err(AttemptFailure::Broken),
+            Err(SendError::Unsent(unsent)) if is_kept => request = *unsent,
+            Err(SendError::Unsent(_)) => return Err(AttemptFailure::NotConnected),
+            Err(SendError::Garbled) => return Err(AttemptFailure::Garbled),
+            Err(SendError::Broken) => return Err(AttemptFailure::Broken),
         }
     }
 }
 
-/// Sends a request of hollyhook's own to an endpoint and reads the answer whole; none if that takes longer than `limit`
-/// or the connection breaks.
-pub(super) async fn ask_endpoint(
+/// Sends a request of hollyhook's own to an endpoint and reads the whole response.
+///
+/// Returns `None` if that takes longer than `limit`, if no connection could be made, or if the connection fails.
+pub(super) async fn call_endpoint(
     context: &GatewayContext,
     target: &EndpointTarget,
     request: Request<Full<Bytes>>,
     limit: Duration,
-) -> Option<WholeAnswer> {
+) -> Option<BufferedResponse> {
     let exchange = async {
-        let answer = send(context, target, request).await?;
-        answer.read_whole(context, &target.id).await
+        let response = send(context, target, request).await?;
+        response.read_to_end(context, &target.id).await
     };
     context.timer.within(limit, exchange).await?.ok()
 }
@@ -210,7 +215,7 @@
     })
 }
 
-/// The path and query as the caller wrote them.
+/// Path and query of the caller's URI, without scheme and authority.
 fn origin_form(caller: &CallerRequest) -> http::Uri {
     let path = caller.uri.path_and_query().cloned();
     path.map_or_else(|| caller.uri.clone(), http::Uri::from)
--- a/crates/hollyhook_gateway/src/forward/attempt_end.rs
+++ b/crates/hollyhook_gateway/src/forward/attempt_end.rs
@@ -3,9 +3,9 @@
 use crate::front::CallerRequest;
 use crate::gateway::GatewayContext;
 
-/// Notes a failed attempt and says why no other may follow, if none may.
+/// Records a failed attempt; returns why no further attempt may be made, or `None` if one may.
 ///
-/// Another attempt spends of the service's retry budget, unless the failed one has certainly not arrived anywhere.
+/// A further attempt is charged to the service's retry budget, unless the failed attempt certainly reached no endpoint.
 pub(super) fn end_attempt(
     context: &GatewayContext,
     caller: &CallerRequest,
@@ -16,6 +16,6 @@
     let reason = ledger.stop_reason(caller.time_left(context.timer.now()));
     let is_quarantined = || context.quarantine.refusal(|| caller.digest()).is_some();
     let reason = reason.or_else(|| is_quarantined().then_some(StopReason::Quarantined));
-    let is_spent = || failure.has_arrived() && !context.try_retry(&caller.service);
-    reason.or_else(|| is_spent().then_some(StopReason::BudgetSpent))
+    let is_budget_spent = || failure.has_arrived() && !context.try_retry(&caller.service);
+    reason.or_else(|| is_budget_spent().then_some(StopReason::BudgetSpent))
 }
--- a/crates/hollyhook_gateway/src/forward/version_note.rs
+++ b/crates/hollyhook_gateway/src/forward/attempt_times.rs
@@ -6,25 +6,25 @@
 use crate::front::CallerRequest;
 use crate::gateway::{GatewayContext, VersionAnswer};
 
-/// How long an attempt took.
+/// Durations of one attempt.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct VersionTimes {
-    /// From the send to the answer, or to the first event of a stream.
+pub(super) struct AttemptTimes {
+    /// Time from sending the request to the response, or to the first event of a stream.
     pub(super) first: Option<Duration>,
-    /// Between two events of a stream, in the mean.
+    /// Mean gap between two events of a stream.
     pub(super) gap: Option<Duration>,
 }
 
-/// Notes an attempt as evidence about the version of its endpoint.
+/// Records an attempt as evidence about the software version of its endpoint.
 ///
-/// Only what the endpoint answered, or took too long to answer: connections break and links are cut whatever the version is,
-/// and a full endpoint says nothing of it either.
-pub(super) fn note_version(
+/// Only responses and time-outs count: connections break and links fail whatever the version is, and a rejection by a
+/// full endpoint says nothing about the version either.
+pub(super) fn record_version_outcome(
     context: &GatewayContext,
     caller: &CallerRequest,
     target: &EndpointTarget,
     failure: Option<AttemptFailure>,
-    times: VersionTimes,
+    times: AttemptTimes,
 ) {
     let is_evidence =
         matches!(failure, None | Some(AttemptFailure::Failed | AttemptFailure::Silent | AttemptFailure::Expired));
--- /dev/null
+++ b/crates/hollyhook_gateway/src/forward/backup_replicator.rs
@@ -0,0 +1,195 @@
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use async_std::task;
+use futures::future::{AbortHandle, abortable};
+use hollyhook_core::{EndpointId, Name, TimePoint};
+use hollyhook_platform::BackupSource;
+use http::{Request, header};
+use http_body_util::Full;
+
+use super::attempt::{EndpointTarget, call_endpoint};
+use super::engine_choice::{BackupLocation, EngineChooser};
+use crate::front::CallerRequest;
+use crate::gateway::GatewayContext;
+use crate::sync::lock;
+
+/// Interval at which the backup of a generation is checked. Engines that crash together usually share a zone, and
+/// another zone fails only seconds later.
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// Delay before engines are probed again for a copy after none had room. Memory is freed as streams end, which takes
+/// six seconds or more, and each probe takes time from an engine that is already loaded.
+const NO_ROOM_PAUSE: Duration = Duration::from_millis(1_500);
+/// Interval at which an on-demand copy is refreshed. Engines evict a copy that is not used for four seconds.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(2_500);
+/// Time limit for making or freeing a copy. The KV cache of a long generation crosses zones within 0.1 s.
+const COPY_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Maintains a copy of a generation's KV cache at another engine while the generation runs.
+///
+/// The running engine extends the copy that the generation was started with. When the engine that holds this copy is
+/// lost, the replicator has a new copy made on demand at an engine that has just answered a probe, and refreshes that
+/// copy until the generation ends. Where engines support no on-demand copies, the generation continues without one.
+#[derive(Debug)]
+pub(super) struct BackupReplicator {
+    context: Arc<GatewayContext>,
+    run_target: EndpointTarget,
+    state: Arc<Mutex<ReplicatorState>>,
+    task: AbortHandle,
+}
+
+#[derive(Debug)]
+struct ReplicatorState {
+    /// Engine that holds the copy now.
+    location: Option<BackupLocation>,
+    /// Whether a copy is being made; its name is known only from the response.
+    is_copying: bool,
+    /// Whether the generation has ended.
+    has_ended: bool,
+}
+
+impl BackupReplicator {
+    pub(super) fn start(
+        context: &Arc<GatewayContext>,
+        caller: &Arc<CallerRequest>,
+        run_target: EndpointTarget,
+        first: Option<BackupLocation>,
+    ) -> Self {
+        let state = ReplicatorState { location: first, is_copying: false, has_ended: false };
+        let state = Arc::new(Mutex::new(state));
+        let replication = ReplicatorTask {
+            context: Arc::clone(context),
+            caller: Arc::clone(caller),
+            run_target: run_target.clone(),
+            state: Arc::clone(&state),
+            copied_at: None,
+        };
+        let (work, handle) = abortable(replication.run());
+        if caller.engine.is_some_and(|engine| engine.has_moves) {
+            task::spawn(work);
+        }
+        Self { context: Arc::clone(context), run_target, state, task: handle }
+    }
+
+    /// Takes the location of the copy, to resume the generation from it; the replicator no longer frees this copy.
+    pub(super) fn take_location(&self) -> Option<BackupLocation> {
+        lock(&self.state).location.take()
+    }
+}
+
+impl Drop for BackupReplicator {
+    fn drop(&mut self) {
+        let mut state = lock(&self.state);
+        state.has_ended = true;
+        // The name of a copy in progress is not known yet: the task stays alive and frees the copy when it is made.
+        if !state.is_copying {
+            self.task.abort();
+        }
+        let location = state.location.take();
+        drop(state);
+        if let Some(location) = location.filter(|location| location.is_on_demand) {
+            task::spawn(free_copy(Arc::clone(&self.context), self.run_target.clone(), location.source.name));
+        }
+    }
+}
+
+/// Frees a copy that will not be used. If the request fails, the engines evict the copy by themselves after a few
+/// seconds.
+async fn free_copy(context: Arc<GatewayContext>, run_target: EndpointTarget, copy: Name) {
+    let path = hollyhook_platform::free_path(&copy);
+    let request = Request::delete(path).header(header::HOST, run_target.address.to_string()).body(Full::default());
+    let Ok(request) = request else {
+        return;
+    };
+    let is_freed = call_endpoint(&context, &run_target, request, COPY_TIMEOUT).await.is_some();
+    tracing::debug!(endpoint = %run_target.id, is_freed, "backup.freed");
+}
+
+struct ReplicatorTask {
+    context: Arc<GatewayContext>,
+    caller: Arc<CallerRequest>,
+    run_target: EndpointTarget,
+    state: Arc<Mutex<ReplicatorState>>,
+    /// When the copy was last refreshed; `None` if it was not made on demand.
+    copied_at: Option<TimePoint>,
+}
+
+impl ReplicatorTask {
+    async fn run(mut self) {
+        while !lock(&self.state).has_ended {
+            self.context.timer.wait(CHECK_INTERVAL).await;
+            self.check().await;
+        }
+    }
+
+    async fn check(&mut self) {
+        let location = lock(&self.state).location.clone();
+        let rule = self.context.rollouts.rule(&self.caller.service, false).unwrap_or_default();
+        let chooser = EngineChooser { context: &self.context, caller: &self.caller, tried: &[], versions: &rule };
+        let target = location
+            .as_ref()
+            .and_then(|location| chooser.usable_backup(location))
+            .map(|(record, _)| EndpointTarget::from(&record));
+        let target = match (target, self.copied_at) {
+            // The running engine extends this copy itself.
+            (Some(_), None) => return,
+            (Some(_), Some(at)) if self.context.timer.now().since(at) < REFRESH_INTERVAL => return,
+            (Some(target), Some(_)) => Some(target),
+            (None, _) => chooser.choose_backup(&self.run_target).await,
+        };
+        let Some(target) = target else {
+            self.context.timer.wait(NO_ROOM_PAUSE).await;
+            return;
+        };
+        if !self.begin_copy() {
+            return;
+        }
+        let copy = self.copy_to(&target).await;
+        tracing::info!(request = %self.caller.head.attempt_id, endpoint = %self.run_target.id, backup = %target.id,
+            is_copied = copy.is_some(), "backup.copied");
+        self.end_copy(&target, copy).await;
+    }
+
+    /// Marks a copy as being made; returns false if the generation has ended, so that no copy is needed.
+    fn begin_copy(&self) -> bool {
+        let mut state = lock(&self.state);
+        state.is_copying = !state.has_ended;
+        state.is_copying
+    }
+
+    async fn end_copy(&mut self, target: &EndpointTarget, copy: Option<Name>) {
+        self.copied_at = copy.as_ref().map(|_| self.context.timer.now());
+        let unused = {
+            let mut state = lock(&self.state);
+            state.is_copying = false;
+            let location = copy.clone().map(|name| BackupLocation {
+                id: EndpointId::clone(&target.id),
+                source: BackupSource { address: self.run_target.address, name },
+                is_on_demand: true,
+            });
+            if state.has_ended {
+                copy
+            } else {
+                state.location = location;
+                None
+            }
+        };
+        match unused {
+            Some(name) => free_copy(Arc::clone(&self.context), self.run_target.clone(), name).await,
+            None if self.copied_at.is_some() => self.context.board.count("backups_copied"),
+            None => {}
+        }
+    }
+
+    async fn copy_to(&self, target: &EndpointTarget) -> Option<Name> {
+        let order = hollyhook_platform::encode_copy_order(&self.caller.head.attempt_id, target.address).ok()?;
+        let request = Request::post(hollyhook_platform::copy_path())
+            .header(header::HOST, self.run_target.address.to_string())
+            .header(header::CONTENT_TYPE, "application/json")
+            .body(Full::from(order))
+            .ok()?;
+        let response = call_endpoint(&self.context, &self.run_target, request, COPY_TIMEOUT).await?;
+        let is_done = response.parts.status.is_success();
+        if is_done { hollyhook_platform::decode_copy(&response.body).ok() } else { None }
+    }
+}
--- a/crates/hollyhook_gateway/src/forward/crash_check.rs
+++ b/crates/hollyhook_gateway/src/forward/crash_check.rs
@@ -10,25 +10,27 @@
 use super::request_log;
 use crate::front::CallerRequest;
 use crate::gateway::GatewayContext;
-use crate::pool::{PooledConnection, SendFault};
+use crate::pool::{PooledConnection, SendError};
 use crate::store::QuarantineWriter;
 
-/// How long an endpoint may take to refuse a connection, or to break it; a host whose process has ended refuses within a round
-/// trip, and so does what accepts connections in its place.
+/// Time limit for an endpoint to refuse a connection or to break it. The machine of a crashed process refuses within
+/// one round trip, and so does a proxy that accepts connections in its place.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(60);
-/// Connections in a row that have to break until an endpoint is taken for ended: endpoints that live reset some.
-const BROKEN_CHECKS: usize = 2;
-/// How long a connection to a plain endpoint, which can't be asked without taking a place there, has to hold.
+/// Consecutive connections that must break before an endpoint counts as crashed: live endpoints reset some connections.
+const CRASH_CHECKS: usize = 2;
+/// How long a connection to a plain service instance must stay open to show that the process lives. Unlike an engine,
+/// such an instance can't be probed without taking a slot there.
 const HOLD_TIME: Duration = Duration::from_millis(10);
 
-/// How long an attempt has to send events until the request is no longer suspected to end its endpoint.
-pub(super) const SURVIVAL: Duration = Duration::from_secs(1);
+/// How long an attempt must have sent events before its request is no longer suspected of crashing endpoints.
+pub(super) const SURVIVAL_TIME: Duration = Duration::from_secs(1);
 
-/// Notes against a request that the endpoint ended that had begun to run it, if that is so.
+/// Records a crash against a request if the endpoint that ran it has crashed.
 ///
-/// A broken connection alone says little: endpoints that live reset some, and links do. One whose process has ended
-/// refuses the next connections, or breaks each. Where neither can be told, since nothing answers at all, the break is kept
-/// until the endpoint's next start or the end of its entry explains it.
+/// A broken connection alone proves little: live endpoints and network links reset some. An endpoint whose process has
+/// ended refuses the next connections or breaks each of them. If neither is seen, a lost attempt (`Broken`, `Garbled`,
+/// `Silent`) is remembered for a while, and counts as a crash if the endpoint turns out to have restarted or its
+/// registry entry is removed.
 pub(super) async fn check_crash(
     context: &Arc<GatewayContext>,
     caller: &CallerRequest,
@@ -36,11 +38,11 @@
     failure: AttemptFailure,
 ) {
     let is_cut_off = matches!(failure, AttemptFailure::Broken | AttemptFailure::Garbled);
-    let has_ended = is_cut_off && has_ended(context, caller, target).await;
-    if !has_ended && (is_cut_off || failure == AttemptFailure::Silent) {
+    let has_crashed = is_cut_off && has_crashed(context, caller, target).await;
+    if !has_crashed && (is_cut_off || failure == AttemptFailure::Silent) {
         context.quarantine.note_break(caller.digest(), &target.id);
     }
-    if has_ended {
+    if has_crashed {
         context.board.count("endpoint_crashes");
         request_log::crashed(context, caller, &target.id);
         context.quarantine.note_end(caller.digest(), &target.id);
@@ -48,31 +50,32 @@
     }
 }
 
-/// Notes that an endpoint ran a request and did not end.
+/// Records that an endpoint ran a request without crashing.
 pub(super) fn note_survival(context: &Arc<GatewayContext>, caller: &CallerRequest) {
     context.quarantine.note_survival(|| caller.digest());
     QuarantineWriter::wake(context);
 }
 
-/// Notes that a request is no longer tried.
+/// Records that no further attempt is made for a request.
 pub(super) fn note_given_up(context: &Arc<GatewayContext>, caller: &CallerRequest) {
     context.quarantine.note_given_up(|| caller.digest());
     QuarantineWriter::wake(context);
 }
 
-/// The refusal of a request that ends the endpoints which run it, at whichever host they ended.
+/// Returns the error for a quarantined request: one that crashed endpoints, at this host or at others.
 ///
-/// Each endpoint that ends takes down what others have running there, so that one more try is paid by others.
-pub(super) fn refuse(context: &GatewayContext, caller: &CallerRequest) -> Option<Error> {
+/// Each crash also ends the requests that other callers have running at the endpoint, so that they would pay for a
+/// further attempt.
+pub(super) fn quarantine_error(context: &GatewayContext, caller: &CallerRequest) -> Option<Error> {
     let left = context.quarantine.refusal(|| caller.digest())?;
     let error = Error::new(ErrorKind::Quarantined, StopReason::Quarantined.as_str());
     Some(error.retry_after(left))
 }
 
-async fn has_ended(context: &GatewayContext, caller: &CallerRequest, target: &EndpointTarget) -> bool {
-    for _check in 0..BROKEN_CHECKS {
+async fn has_crashed(context: &GatewayContext, caller: &CallerRequest, target: &EndpointTarget) -> bool {
+    for _check in 0..CRASH_CHECKS {
         let is_broken = match context.pool.connect(target.address, CHECK_TIMEOUT).await {
-            Ok(connection) if caller.engine.is_some() => breaks_when_asked(context, target, connection).await,
+            Ok(connection) if caller.engine.is_some() => breaks_on_probe(context, target, connection).await,
             Ok(connection) => {
                 context.timer.wait(HOLD_TIME).await;
                 !connection.is_ready()
@@ -87,16 +90,12 @@
     true
 }
 
-/// Whether a new connection to an engine breaks when the engine is asked for its report, which needs no place there.
-async fn breaks_when_asked(
-    context: &GatewayContext,
-    target: &EndpointTarget,
-    mut connection: PooledConnection,
-) -> bool {
+/// Whether a new connection to an engine breaks when the engine's report is requested, which needs no slot there.
+async fn breaks_on_probe(context: &GatewayContext, target: &EndpointTarget, mut connection: PooledConnection) -> bool {
     let request = Request::get(hollyhook_platform::report_path()).header(header::HOST, target.address.to_string());
     let Ok(request) = request.body(Full::default()) else {
         return false;
     };
     let sent = context.timer.within(CHECK_TIMEOUT, connection.send(request)).await;
-    matches!(sent, Some(Err(SendFault::Broken | SendFault::Unsent(_))))
+    matches!(sent, Some(Err(SendError::Broken | SendError::Unsent(_))))
 }
--- a/crates/hollyhook_gateway/src/forward/endpoint_probe.rs
+++ b/crates/hollyhook_gateway/src/forward/endpoint_probe.rs
@@ -6,73 +6,76 @@
 use http::{Request, header};
 use http_body_util::Full;
 
-use super::attempt::{EndpointTarget, ask_endpoint};
+use super::attempt::{EndpointTarget, call_endpoint};
 use crate::gateway::GatewayContext;
 
-/// How long a silent engine may take to report before it is taken for lost; it answers within milliseconds and needs
-/// no slot for it.
-const LIFE_TIMEOUT: Duration = Duration::from_millis(150);
-/// How long a request waits for the reports of the engines that it may go to; within it, an engine of another zone
-/// answers on a new connection.
-const CHOICE_TIMEOUT: Duration = Duration::from_millis(60);
+/// Time limit for the report of an engine that sends no events, after which the engine counts as lost. A live engine
+/// reports within milliseconds and needs no free slot to do so.
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(150);
+/// Time limit for the reports of the candidate engines of a request. An engine of another zone reports within the limit
+/// even on a new connection.
+const PLACEMENT_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// The same for a generation that goes on from its backup, whose caller has been without events for half a second: an
-/// engine that lives answers by then, also on a new connection to another zone (two ways of some 3 ms, and its own 1 ms).
+/// Time limit for the reports of the candidate engines of a generation that resumes from its backup, whose caller has
+/// had no events for half a second. A live engine reports within the limit even on a new connection to another zone:
+/// two round trips of about 3 ms and 1 ms in the engine.
 const RESUME_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Asks a model engine that is silent on a stream; none if it does not answer.
-pub(super) async fn ask_silent(context: &GatewayContext, target: &EndpointTarget) -> Option<EngineReport> {
-    let report = ask(context, target, LIFE_TIMEOUT).await;
+/// Requests the report of an engine that sends no events on a stream; `None` if the engine does not report.
+pub(super) async fn probe_silent(context: &GatewayContext, target: &EndpointTarget) -> Option<EngineReport> {
+    let report = fetch_report(context, target, LIVENESS_TIMEOUT).await;
     let known = report.as_ref();
     tracing::info!(endpoint = %target.id, is_alive = known.is_some(), running = known.map(EngineReport::running),
         reading = known.map(|known| known.reading), waiting = known.map(|known| known.waiting), "endpoint.probed");
     report
 }
 
-/// Asks all of a shortlist at once; one that does not answer counts as failed.
-pub(super) async fn ask_all(context: &GatewayContext, shortlist: Vec<EndpointRecord>) -> Vec<EngineCandidate> {
-    let candidates = ask_each(context, shortlist, CHOICE_TIMEOUT).await;
+/// Probes all engines of a shortlist concurrently; an engine that does not report is recorded as not connected.
+pub(super) async fn probe_all(context: &GatewayContext, shortlist: Vec<EndpointRecord>) -> Vec<EngineCandidate> {
+    let candidates = probe_each(context, shortlist, PLACEMENT_TIMEOUT).await;
     for candidate in candidates.iter().filter(|candidate| candidate.report.is_none()) {
         context.endpoints.note_outcome(&candidate.record.id, Some(AttemptFailure::NotConnected));
     }
     candidates
 }
 
-/// Asks all of a shortlist at once, for a caller who can't wait; not to answer so soon speaks against no engine.
-pub(super) async fn ask_quickly(context: &GatewayContext, shortlist: Vec<EndpointRecord>) -> Vec<EngineCandidate> {
-    ask_each(context, shortlist, RESUME_TIMEOUT).await
+/// Probes all engines of a shortlist concurrently within the short limit of a resume. An engine that misses this limit
+/// is not recorded as failed.
+pub(super) async fn probe_quickly(context: &GatewayContext, shortlist: Vec<EndpointRecord>) -> Vec<EngineCandidate> {
+    probe_each(context, shortlist, RESUME_TIMEOUT).await
 }
 
-/// What they report; those that say that they leave are not among the candidates.
-async fn ask_each(context: &GatewayContext, list: Vec<EndpointRecord>, limit: Duration) -> Vec<EngineCandidate> {
-    let asks = list.into_iter().map(|record| async move {
-        let report = ask(context, &EndpointTarget::from(&record), limit).await;
+/// Probes all engines of a list concurrently; engines that report that they are draining are left out.
+async fn probe_each(context: &GatewayContext, list: Vec<EndpointRecord>, limit: Duration) -> Vec<EngineCandidate> {
+    let probes = list.into_iter().map(|record| async move {
+        let report = fetch_report(context, &EndpointTarget::from(&record), limit).await;
         EngineCandidate { record, report, held_tokens: 0 }
     });
-    let mut candidates = join_all(asks).await;
-    // A host that was cut off hears it so seconds before its list says it.
+    let mut candidates = join_all(probes).await;
+    // A host that was partitioned learns it from the report seconds before its endpoint list shows it.
     candidates.retain(|candidate| !candidate.report.as_ref().is_some_and(|report| report.is_leaving));
     candidates
 }
 
-/// Asks all of a list at once for their reports and for what they hold of a prompt part.
-pub(super) async fn ask_holdings(
+/// Probes all engines of a list concurrently, then fetches how much of a prompt part each engine that reported holds.
+pub(super) async fn probe_holdings(
     context: &GatewayContext,
     list: Vec<EndpointRecord>,
     part: u64,
 ) -> Vec<EngineCandidate> {
-    let mut candidates = ask_all(context, list).await;
+    let mut candidates = probe_all(context, list).await;
     let answered = candidates.iter_mut().filter(|candidate| candidate.report.is_some());
-    let asks = answered.map(|candidate| async move {
-        candidate.held_tokens = ask_held(context, &EndpointTarget::from(&candidate.record), part).await;
+    let probes = answered.map(|candidate| async move {
+        candidate.held_tokens = fetch_held_tokens(context, &EndpointTarget::from(&candidate.record), part).await;
     });
-    join_all(asks).await;
+    join_all(probes).await;
     candidates
 }
 
-/// Tokens of a prompt part that an engine holds; zero if it does not say, which only costs reading them again.
-async fn ask_held(context: &GatewayContext, target: &EndpointTarget, part: u64) -> u64 {
-    let Some(body) = ask_path(context, target, hollyhook_platform::held_path(), CHOICE_TIMEOUT).await else {
+/// Fetches how many tokens of a prompt part an engine holds; zero if the engine does not say, which only costs another
+/// prefill.
+async fn fetch_held_tokens(context: &GatewayContext, target: &EndpointTarget, part: u64) -> u64 {
+    let Some(body) = fetch_path(context, target, hollyhook_platform::held_path(), PLACEMENT_TIMEOUT).await else {
         return 0;
     };
     match hollyhook_platform::decode_held(&body) {
@@ -84,24 +87,25 @@
     }
 }
 
-async fn ask(context: &GatewayContext, target: &EndpointTarget, limit: Duration) -> Option<EngineReport> {
-    let body = ask_path(context, target, hollyhook_platform::report_path(), limit).await?;
+async fn fetch_report(context: &GatewayContext, target: &EndpointTarget, limit: Duration) -> Option<EngineReport> {
+    let body = fetch_path(context, target, hollyhook_platform::report_path(), limit).await?;
     let report = hollyhook_platform::decode_report(&body).ok()?;
     if report.is_leaving {
         context.endpoints.note_leaving(&target.id);
     }
-    // Of another start, it says nothing of the one that was asked.
+    // A report of a later start says nothing about the incarnation that was probed.
     (!context.endpoints.note_start(&target.id, report.started)).then_some(report)
 }
 
-/// Asks an engine on one of its own paths; none if it does not answer in time, or with a failure.
-async fn ask_path(context: &GatewayContext, target: &EndpointTarget, path: &str, limit: Duration) -> Option<Bytes> {
+/// Fetches the body at one of an engine's own paths; `None` if the engine does not respond in time or responds with an
+/// error status.
+async fn fetch_path(context: &GatewayContext, target: &EndpointTarget, path: &str, limit: Duration) -> Option<Bytes> {
     let mut request = Request::get(path).header(header::HOST, target.address.to_string()).body(Full::default()).ok()?;
     hollyhook_platform::set_expected_endpoint(request.headers_mut(), &target.entry);
-    let answer = ask_endpoint(context, target, request, limit).await?;
-    if !answer.parts.status.is_success() {
-        tracing::info!(endpoint = %target.id, status = answer.parts.status.as_u16(), "endpoint.probe_refused");
+    let response = call_endpoint(context, target, request, limit).await?;
+    if !response.parts.status.is_success() {
+        tracing::info!(endpoint = %target.id, status = response.parts.status.as_u16(), "endpoint.probe_refused");
         return None;
     }
-    Some(answer.body)
+    Some(response.body)
 }
--- a/crates/hollyhook_gateway/src/forward/engine_choice.rs
+++ b/crates/hollyhook_gateway/src/forward/engine_choice.rs
@@ -11,42 +11,45 @@
 use hollyhook_platform::BackupSource;
 use rand::Rng;
 
-use super::attempt::{EndpointPlace, EndpointTarget};
-use super::endpoint_probe::{ask_all, ask_holdings, ask_quickly};
+use super::attempt::{EndpointSlot, EndpointTarget};
+use super::endpoint_probe::{probe_all, probe_holdings, probe_quickly};
 use crate::front::CallerRequest;
 use crate::gateway::{EndpointLack, GatewayContext};
 
-/// Engines that are asked before a generation is placed. Two that are asked are nearly as good as all: the second
-/// choice removes most of the waiting behind other prompts, a third little more.
-const ASKED: usize = 2;
+/// Engines that are probed before a generation is placed. Probing two is nearly as good as probing all: the second
+/// choice removes most of the waiting behind other prompts, a third removes little more.
+const PROBED_ENGINES: usize = 2;
 
-/// Engines that are asked whether they hold the prompt of a generation that comes back: of the own zone, and of each other
-/// one. Most have last been at one of these.
-const FIRST_HOMES: HomeCounts = HomeCounts { own: 3, far: 1 };
-/// The same if none of the first does.
-const ALL_HOMES: HomeCounts = HomeCounts { own: 6, far: 3 };
+/// Engines, in the own zone and in each other zone, that are probed first for the prompt of a generation whose caller
+/// comes back. Most such generations last ran at one of these.
+const FIRST_HOLDER_LIMITS: HomeCounts = HomeCounts { own: 3, far: 1 };
+/// Engines, in the own zone and in each other zone, that are probed if none of the first holds the prompt.
+const ALL_HOLDER_LIMITS: HomeCounts = HomeCounts { own: 6, far: 3 };
 
-/// How long a connection to an engine of another zone has been idle before it makes that engine go first. A host that starts
-/// a generation every 3 s then asks the same two engines each time, and one of many generations spreads their copies: an
-/// engine gets one from it in 2 s, so three or four at a time while runs last six to seven seconds.
-const COPY_REST: Duration = Duration::from_secs(2);
+/// How long a connection to an engine of another zone must have been idle for that engine to be preferred as the holder
+/// of a copy. A host that starts a generation every 3 s then probes the same two engines each time. A host that starts
+/// many spreads their copies: it sends each engine one copy in 2 s, so three or four at a time while generations last
+/// six to seven seconds.
+const COPY_MIN_IDLE: Duration = Duration::from_secs(2);
 
-/// Where the memory of a run is copied to as it grows.
+/// Engine that holds a copy of a generation's KV cache.
 #[derive(Debug, Clone)]
-pub(super) struct BackupPlace {
+pub(super) struct BackupLocation {
     pub(super) id: EndpointId,
     pub(super) source: BackupSource,
-    /// Whether it was made on order: it stands until it is freed, and takes memory that serves nobody.
-    pub(super) is_ordered: bool,
+    /// Whether the copy was made by an explicit request. Such a copy occupies KV cache that serves no request until it
+    /// is freed.
+    pub(super) is_on_demand: bool,
 }
 
-/// Where an attempt goes, where its memory comes from, and where it is copied to.
+/// Engine that an attempt is sent to, the KV cache that it resumes from, and the engine that holds its copy.
 #[derive(Debug)]
 pub(super) struct EngineChoice {
-    pub(super) place: EndpointPlace,
+    pub(super) slot: EndpointSlot,
+    /// Copy of the KV cache to resume from.
     pub(super) from: Option<BackupSource>,
-    pub(super) backup: Option<BackupPlace>,
-    /// The engine to fetch the prompt from, which it holds.
+    pub(super) backup: Option<BackupLocation>,
+    /// Address of an engine that holds the prompt's KV cache, to fetch it from.
     pub(super) prompt_at: Option<SocketAddr>,
 }
 
@@ -54,137 +57,146 @@
 pub(super) struct EngineChooser<'a> {
     pub(super) context: &'a Arc<GatewayContext>,
     pub(super) caller: &'a CallerRequest,
-    /// Engines that were tried already.
+    /// Engines that earlier attempts were sent to.
     pub(super) tried: &'a [EndpointId],
-    /// Which versions it may go to.
+    /// Versions that the attempt may be sent to.
     pub(super) versions: &'a VersionRule,
 }
 
 impl EngineChooser<'_> {
-    /// Chooses; `held` is where a copy of the memory of the attempt before lies.
+    /// Chooses the engine; `resume_from` is the copy of the lost attempt's KV cache, if there is one.
     ///
     /// # Errors
     ///
-    /// Why no attempt can be made, with how long it would be too late.
-    pub(super) async fn choose(&self, held: Option<BackupPlace>) -> Result<EngineChoice, EndpointLack> {
+    /// Why no attempt can be made, and how long this is expected to last.
+    pub(super) async fn choose(&self, resume_from: Option<BackupLocation>) -> Result<EngineChoice, EndpointLack> {
         if self.caller.engine.is_none() {
             return self.choose_any();
         }
-        let usable = held.as_ref().and_then(|held| self.usable(held));
-        if let (Some(held), None) = (&held, &usable) {
-            tracing::info!(request = %self.caller.head.attempt_id, endpoint = %held.id, "backup.lost");
+        let usable_backup = resume_from.as_ref().and_then(|resume_from| self.usable_backup(resume_from));
+        if let (Some(resume_from), None) = (&resume_from, &usable_backup) {
+            tracing::info!(request = %self.caller.head.attempt_id, endpoint = %resume_from.id, "backup.lost");
         }
-        if let Some((record, source)) = usable {
-            let backups = ask_quickly(self.context, self.list_elsewhere(&record)).await;
-            if let Some(place) = EndpointPlace::take(self.context, &record) {
-                let backup = self.best_backup(&place, &backups);
-                return Ok(EngineChoice { place, from: Some(source), backup, prompt_at: None });
+        if let Some((record, source)) = usable_backup {
+            let backups = probe_quickly(self.context, self.list_other_zones(&record)).await;
+            if let Some(slot) = EndpointSlot::reserve(self.context, &record) {
+                let backup = self.best_backup(&slot, &backups);
+                return Ok(EngineChoice { slot, from: Some(source), backup, prompt_at: None });
             }
         }
-        match self.choose_held().await {
+        match self.choose_holder().await {
             Some(choice) => Ok(choice),
             None if self.context.quarantine.is_suspected(|| self.caller.digest()) => self.choose_any(),
             None => self.choose_new().await,
         }
     }
 
-    /// Chooses any engine, rather than the best.
+    /// Chooses an engine without probing any.
     ///
-    /// All that an engine took with it is placed anew at the same moment. Placed by the same reports, what did no harm would
-    /// follow a request that ended it from engine to engine, and be taken for the cause as well.
+    /// When an engine crashes, all its requests are placed again at the same moment. If all were placed by the same
+    /// reports, harmless requests would follow the one that caused the crash from engine to engine and be suspected as
+    /// well.
     fn choose_any(&self) -> Result<EngineChoice, EndpointLack> {
-        let place = self.any_place()?;
-        Ok(EngineChoice { place, from: None, backup: None, prompt_at: None })
+        let slot = self.reserve_any_slot()?;
+        Ok(EngineChoice { slot, from: None, backup: None, prompt_at: None })
     }
 
-    fn any_place(&self) -> Result<EndpointPlace, EndpointLack> {
+    fn reserve_any_slot(&self) -> Result<EndpointSlot, EndpointLack> {
         let query = self.query();
-        EndpointPlace::take_any(self.context, &query).ok_or_else(|| self.context.endpoints.lack(&query))
+        EndpointSlot::reserve_any(self.context, &query).ok_or_else(|| self.context.endpoints.lack(&query))
     }
 
-    /// Chooses for a caller who comes back, if an engine still holds the prompt.
-    async fn choose_held(&self) -> Option<EngineChoice> {
-        let part = self.returning_part()?;
-        let mut homes = self.ask_homes(part, FIRST_HOMES, &[]).await;
-        if !has_holder(&homes) {
-            let rest = self.ask_homes(part, ALL_HOMES, &homes).await;
-            homes.extend(rest);
+    /// Chooses an engine for a caller that comes back with a cursor; `None` if no engine is found that still holds the
+    /// prompt.
+    async fn choose_holder(&self) -> Option<EngineChoice> {
+        let part = self.returning_prompt_part()?;
+        let mut holders = self.probe_likely_holders(part, FIRST_HOLDER_LIMITS, &[]).await;
+        if !has_holder(&holders) {
+            let rest = self.probe_likely_holders(part, ALL_HOLDER_LIMITS, &holders).await;
+            holders.extend(rest);
         }
-        let placement = place_held(&homes, self.needed_tokens(), &self.context.zone)?;
+        let placement = place_held(&holders, self.needed_tokens(), &self.context.zone)?;
         let (record, holder) = (&placement.candidate.record, &placement.holder.record);
         tracing::info!(request = %self.caller.head.attempt_id, endpoint = %holder.id,
             tokens = placement.holder.held_tokens, is_fetched = placement.is_fetched(), "prompt.found");
         let prompt_at = placement.is_fetched().then_some(holder.address);
-        let place = EndpointPlace::take(self.context, record)?;
-        let backup = self.best_backup(&place, &homes);
-        Some(EngineChoice { place, from: None, backup, prompt_at })
+        let slot = EndpointSlot::reserve(self.context, record)?;
+        let backup = self.best_backup(&slot, &holders);
+        Some(EngineChoice { slot, from: None, backup, prompt_at })
     }
 
-    /// The prompt's own part, if the caller comes back to go on with a generation that this host has not tried yet.
+    /// The prompt's own part, if the caller comes back with a cursor and this host has made no attempt yet.
     ///
-    /// Its host was lost or stopped, not its engine: most likely that still holds what it had read.
-    fn returning_part(&self) -> Option<u64> {
+    /// In that case the previous host was lost or stopped, not the engine, which most likely still holds the prompt.
+    fn returning_prompt_part(&self) -> Option<u64> {
         let is_back = self.caller.head.cursor.is_some() && self.tried.is_empty();
         self.caller.head.prompt.filter(|_| is_back)?.own_part
     }
 
-    /// Asks the engines that the prompt may have gone to, without those that were asked.
-    async fn ask_homes(&self, part: u64, counts: HomeCounts, asked: &[EngineCandidate]) -> Vec<EngineCandidate> {
-        let mut homes = self.context.endpoints.homes(&self.query(), self.home(), counts);
-        homes.retain(|home| asked.iter().all(|candidate| candidate.record.id != home.id));
-        let mut candidates = ask_holdings(self.context, homes, part).await;
+    /// Probes the engines that the prompt may have been sent to, except those already probed.
+    async fn probe_likely_holders(
+        &self,
+        part: u64,
+        counts: HomeCounts,
+        probed: &[EngineCandidate],
+    ) -> Vec<EngineCandidate> {
+        let mut holders = self.context.endpoints.homes(&self.query(), self.rendezvous_key(), counts);
+        holders.retain(|record| probed.iter().all(|candidate| candidate.record.id != record.id));
+        let mut candidates = probe_holdings(self.context, holders, part).await;
         self.refresh(&mut candidates);
         candidates
     }
 
     async fn choose_new(&self) -> Result<EngineChoice, EndpointLack> {
-        let first = self.context.endpoints.shortlist(&self.query(), self.home(), ASKED);
-        let second = first.first().map(|record| self.list_elsewhere(record)).unwrap_or_default();
-        let (mut asked, elsewhere) = self.ask_in_order(first, second).await;
-        // Engines of other zones come last in the order, so that they are taken only if prompts wait in this one.
-        asked.extend(elsewhere);
-        self.refresh(&mut asked);
-        let best = choose_engine(&asked, self.needed_tokens());
+        let first = self.context.endpoints.shortlist(&self.query(), self.rendezvous_key(), PROBED_ENGINES);
+        let second = first.first().map(|record| self.list_other_zones(record)).unwrap_or_default();
+        let (mut probed, other_zones) = self.probe_in_order(first, second).await;
+        // Engines of other zones rank last, so that one is chosen only if prompts wait in the own zone.
+        probed.extend(other_zones);
+        self.refresh(&mut probed);
+        let best = choose_engine(&probed, self.needed_tokens());
         if let Some(best) = best {
             self.check_wait(best)?;
         }
-        let place = match best.and_then(|best| EndpointPlace::take(self.context, &best.record)) {
-            Some(place) => place,
-            // None of those that were asked answered, or has a place; any that is left may be better.
-            None => self.any_place()?,
+        let slot = match best.and_then(|best| EndpointSlot::reserve(self.context, &best.record)) {
+            Some(slot) => slot,
+            // No probed engine reported, or the best one has no free slot; one that was not probed may have.
+            None => self.reserve_any_slot()?,
         };
-        let backup = self.best_backup(&place, &asked);
-        Ok(EngineChoice { place, from: None, backup, prompt_at: None })
+        let backup = self.best_backup(&slot, &probed);
+        Ok(EngineChoice { slot, from: None, backup, prompt_at: None })
     }
 
-    /// Asks the engines that a prompt may go to, best first, and those that its copy may go to.
+    /// Probes the engines that a prompt may be sent to, best first, and those that may hold its copy.
     ///
-    /// The best alone at first, since in most cases that settles it: each other engine costs a connection.
-    async fn ask_in_order(
+    /// The best engine is probed alone at first, since its report settles most choices and each further engine costs a
+    /// connection.
+    async fn probe_in_order(
         &self,
         mut first: Vec<EndpointRecord>,
         second: Vec<EndpointRecord>,
     ) -> (Vec<EngineCandidate>, Vec<EngineCandidate>) {
         let mut rest = first.split_off(1.min(first.len()));
-        // Asked twice at once, an engine would be left out for the slower answer, and its copy not gone on from.
+        // An engine probed twice at once would count as failed if the slower report came too late, and its copy would
+        // not be used.
         rest.retain(|record| second.iter().all(|listed| listed.id != record.id));
-        let (mut asked, elsewhere) = join(ask_all(self.context, first), ask_all(self.context, second)).await;
-        if !asked.first().is_some_and(|best| is_settled(best, self.needed_tokens())) {
-            asked.extend(ask_all(self.context, rest).await);
+        let (mut probed, other_zones) = join(probe_all(self.context, first), probe_all(self.context, second)).await;
+        if !probed.first().is_some_and(|best| is_settled(best, self.needed_tokens())) {
+            probed.extend(probe_all(self.context, rest).await);
         }
-        (asked, elsewhere)
+        (probed, other_zones)
     }
 
-    /// Takes in what this host sent to the engines while it asked: it is in no report.
+    /// Adds the requests that this host sent to the engines during the probes, which no report contains.
     fn refresh(&self, candidates: &mut [EngineCandidate]) {
         for candidate in candidates {
             self.context.endpoints.refresh(&mut candidate.record);
         }
     }
 
-    /// Refuses what even the best engine that was asked would not end in time.
+    /// Sheds a request that even the best probed engine would not finish in time.
     ///
-    /// Only what has not begun: how much is left of a stream that goes on is not known.
+    /// Applies only to generations that have not begun: how much is left of one that resumes is not known.
     fn check_wait(&self, candidate: &EngineCandidate) -> Result<(), EndpointLack> {
         if !self.tried.is_empty() || self.caller.head.cursor.is_some() {
             return Ok(());
@@ -198,35 +210,35 @@
         }
     }
 
-    /// The engine that holds the copy, if it still takes work.
-    pub(super) fn usable(&self, held: &BackupPlace) -> Option<(EndpointRecord, BackupSource)> {
+    /// The engine that holds a copy, if this engine may still be sent the generation.
+    pub(super) fn usable_backup(&self, backup: &BackupLocation) -> Option<(EndpointRecord, BackupSource)> {
         let now = self.context.timer.now();
-        let record = self.context.endpoints.table().get(&held.id).cloned()?;
+        let record = self.context.endpoints.table().get(&backup.id).cloned()?;
         let is_fit = record.state == EndpointState::Live
             && !record.is_ejected(now)
             && self.context.rollouts.may_go_on_at(&record.service, &record.version);
-        is_fit.then(|| (record, held.source.clone()))
+        is_fit.then(|| (record, backup.source.clone()))
     }
 
-    /// Engines of other zones, above all for the copy of a run, since a zone often goes as a whole; each in a zone of
-    /// its own, since another one may just be gone.
+    /// Lists engines outside the zone of `record`, mainly to hold the copy of a generation, since a zone often fails as
+    /// a whole; one engine per zone, since another zone may just have failed too.
     ///
-    /// Those to which a connection is kept go first. The order that all hosts share does not matter here: who goes on from a
-    /// copy knows where it lies.
-    fn list_elsewhere(&self, record: &EndpointRecord) -> Vec<EndpointRecord> {
-        let rested = self.context.pool.rested(COPY_REST);
-        let query = self.query().avoid_zone(&record.zone).prefer(&rested).repeatable(false);
-        let mut list = self.context.endpoints.shortlist(&query, self.home(), usize::MAX);
+    /// Engines to which a pooled connection has been idle for `COPY_MIN_IDLE` are preferred. The order that all hosts
+    /// share is not needed here: whoever resumes from a copy knows its location.
+    fn list_other_zones(&self, record: &EndpointRecord) -> Vec<EndpointRecord> {
+        let idle = self.context.pool.idle_for(COPY_MIN_IDLE);
+        let query = self.query().avoid_zone(&record.zone).prefer(&idle).repeatable(false);
+        let mut list = self.context.endpoints.shortlist(&query, self.rendezvous_key(), usize::MAX);
         let mut zones = BTreeSet::new();
         list.retain(|record| zones.insert(ZoneName::clone(&record.zone)));
-        list.truncate(ASKED);
+        list.truncate(PROBED_ENGINES);
         list
     }
 
-    /// An engine for a new copy of a run that goes on.
-    pub(super) async fn choose_backup(&self, running: &EndpointTarget) -> Option<EndpointTarget> {
-        let record = self.context.endpoints.table().get(&running.id).cloned()?;
-        let candidates = ask_all(self.context, self.list_elsewhere(&record)).await;
+    /// Chooses an engine for a new copy of a running generation; `None` if no engine that reports in time has room.
+    pub(super) async fn choose_backup(&self, run_target: &EndpointTarget) -> Option<EndpointTarget> {
+        let record = self.context.endpoints.table().get(&run_target.id).cloned()?;
+        let candidates = probe_all(self.context, self.list_other_zones(&record)).await;
         let best = choose_copy(&candidates, self.needed_tokens())?;
         Some(EndpointTarget::from(&best.record))
     }
@@ -236,18 +248,19 @@
         is_kept && self.caller.route.kind.is_repeatable()
     }
 
-    fn best_backup(&self, place: &EndpointPlace, candidates: &[EngineCandidate]) -> Option<BackupPlace> {
+    fn best_backup(&self, slot: &EndpointSlot, candidates: &[EngineCandidate]) -> Option<BackupLocation> {
         if !self.has_backups() {
             return None;
         }
-        let elsewhere = candidates.iter().filter(|candidate| candidate.record.zone != place.target.zone);
-        let best = choose_copy(elsewhere, self.needed_tokens())?;
+        let other_zones = candidates.iter().filter(|candidate| candidate.record.zone != slot.target.zone);
+        let best = choose_copy(other_zones, self.needed_tokens())?;
         let attempt_id = Name::clone(&self.caller.head.attempt_id);
         let source = BackupSource { address: best.record.address, name: attempt_id };
-        Some(BackupPlace { id: EndpointId::clone(&best.record.id), source, is_ordered: false })
+        Some(BackupLocation { id: EndpointId::clone(&best.record.id), source, is_on_demand: false })
     }
 
-    /// A query for an engine, whose memory binds before its slots do.
+    /// The routing query for this request. The capacity of an engine is limited by its KV cache rather than by its
+    /// slots.
     fn query(&self) -> RouteQuery<'_> {
         let query = RouteQuery::new(&self.caller.service).avoid(self.tried).versions(self.versions);
         let query = query.repeatable(self.caller.route.has_second_attempt());
@@ -261,8 +274,9 @@
         self.caller.head.prompt.unwrap_or_default().memory_tokens().max(1)
     }
 
-    /// The number by which all hosts order engines for this request.
-    fn home(&self) -> u64 {
+    /// The rendezvous-hashing key by which all hosts order engines for this request; random if the prompt has no own
+    /// part.
+    fn rendezvous_key(&self) -> u64 {
         let own_part = self.caller.head.prompt.and_then(|prompt| prompt.own_part);
         own_part.unwrap_or_else(|| rand::rng().random())
     }
--- a/crates/hollyhook_gateway/src/forward/event_stream.rs
+++ b/crates/hollyhook_gateway/src/forward/event_stream.rs
@@ -14,43 +14,43 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Frame;
 
-use super::attempt::{EndpointPlace, OpenAnswer, WholeAnswer, send_attempt};
+use super::attempt::{BufferedResponse, EndpointSlot, OpenResponse, send_attempt};
 use super::attempt_end::end_attempt;
-use super::backup_keeper::BackupKeeper;
-use super::crash_check::{SURVIVAL, check_crash, note_given_up, note_survival};
-use super::engine_choice::{BackupPlace, EngineChoice, EngineChooser};
-use super::live_attempt::{AttemptStart, LiveAttempt, PieceEnd};
+use super::attempt_times::{AttemptTimes, record_version_outcome};
+use super::backup_replicator::BackupReplicator;
+use super::crash_check::{SURVIVAL_TIME, check_crash, note_given_up, note_survival};
+use super::engine_choice::{BackupLocation, EngineChoice, EngineChooser};
+use super::live_attempt::{AttemptStart, LiveAttempt, PieceOutcome};
+use super::liveness_watch::LivenessWatch;
 use super::request_log;
-use super::silence_watch::SilenceWatch;
-use super::stream_pace::StreamPace;
-use super::version_note::{VersionTimes, note_version};
-use crate::front::{AnswerBody, CallerRequest};
+use super::stream_timing::StreamTiming;
+use crate::front::{CallerRequest, ResponseBody};
 use crate::gateway::GatewayContext;
 
-/// Attempts that engines may turn away before a caller is told to come back.
-const MOST_TURNED_AWAY: u32 = 4;
-/// When to come back after every engine turned a generation away.
-const BUSY_RETRY: Duration = Duration::from_millis(500);
+/// Attempts that engines may reject, or that fail to connect, before the caller is told to retry later.
+const MAX_REJECTED: u32 = 4;
+/// Retry-After delay if every engine rejected a generation.
+const BUSY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Forwards a stream; returns when its first event is there.
+/// Forwards a generation as a stream; returns once the first event, or a response that is not a stream, has arrived.
 pub(super) async fn forward_stream(
     context: &Arc<GatewayContext>,
     caller: CallerRequest,
-) -> Result<Response<AnswerBody>> {
+) -> Result<Response<ResponseBody>> {
     let mut run = StreamRun::new(Arc::clone(context), Arc::new(caller));
     let first = match run.next().await {
         Some(Ok(bytes)) => bytes,
         Some(Err(error)) => return Err(error),
         None => Bytes::new(),
     };
-    if let Some(answer) = run.refusal.take() {
-        return Ok(answer.into_response());
+    if let Some(response) = run.plain_response.take() {
+        return Ok(response.into_response());
     }
     let Some(mut parts) = run.first_head.take() else {
         return Err(Error::new(ErrorKind::Internal, "a stream began without a head"));
     };
     remove_hop_headers(&mut parts.headers);
-    // The length is that of one attempt, and the stream may go on at another.
+    // The length is that of one attempt, and the stream may resume at another engine.
     parts.headers.remove(CONTENT_LENGTH);
     let state = StreamState { first: Some(first), run };
     let body = StreamBody::new(stream::unfold(state, next_frame)).boxed_unsync();
@@ -71,77 +71,77 @@
     next.map(|outcome| (outcome.map(Frame::data), state))
 }
 
-/// A stream over all attempts at it.
+/// A caller's stream over all attempts at its generation.
 struct StreamRun {
     context: Arc<GatewayContext>,
     caller: Arc<CallerRequest>,
     relay: EventRelay,
-    pace: StreamPace,
+    timing: StreamTiming,
     live: Option<LiveAttempt>,
-    /// Where a copy lies of the memory of the attempt that was lost.
-    held: Option<BackupPlace>,
+    /// Copy of the lost attempt's KV cache, for the next attempt to resume from.
+    resume_from: Option<BackupLocation>,
     first_head: Option<Parts>,
-    /// The weights that generated what the caller has; other ones would not continue it.
+    /// Version of the weights that generated the events so far; other weights would not continue the same text.
     weights: Option<u64>,
-    /// An answer that is no stream, to be passed on as it is.
-    refusal: Option<WholeAnswer>,
+    /// An endpoint's response that is not a stream, to be returned to the caller unchanged.
+    plain_response: Option<BufferedResponse>,
     tried: Vec<EndpointId>,
     ledger: AttemptLedger,
-    is_over: bool,
+    has_ended: bool,
 }
 
 impl StreamRun {
     fn new(context: Arc<GatewayContext>, caller: Arc<CallerRequest>) -> Self {
         let relay = EventRelay::new(caller.head.cursor);
         let is_back = caller.head.cursor.is_some();
-        let pace = if is_back { StreamPace::returning(caller.arrived) } else { StreamPace::default() };
-        let ledger = AttemptLedger::for_route(&caller.route, MOST_TURNED_AWAY);
+        let timing = if is_back { StreamTiming::resumed_by_caller(caller.arrived) } else { StreamTiming::default() };
+        let ledger = AttemptLedger::for_route(&caller.route, MAX_REJECTED);
         Self {
             context,
             caller,
             relay,
-            pace,
+            timing,
             live: None,
-            held: None,
+            resume_from: None,
             first_head: None,
             weights: None,
-            refusal: None,
+            plain_response: None,
             tried: Vec::new(),
             ledger,
-            is_over: false,
+            has_ended: false,
         }
     }
 
-    /// The next bytes for the caller; none at the end of the stream.
+    /// The next bytes for the caller; `None` at the end of the stream.
     async fn next(&mut self) -> Option<Result<Bytes>> {
-        if self.is_over {
+        if self.has_ended {
             return None;
         }
         loop {
             if let Err(error) = self.ensure_live().await {
-                return Some(Err(self.end(error)));
+                return Some(Err(self.finish_with_error(error)));
             }
-            if self.refusal.is_some() {
-                self.is_over = true;
+            if self.plain_response.is_some() {
+                self.has_ended = true;
                 return None;
             }
             let Some(live) = self.live.as_mut() else {
                 continue;
             };
             match live.next_piece(&self.context, &self.caller, &mut self.relay).await {
-                PieceEnd::Bytes(bytes) => {
-                    if let Some(resume) = self.pace.note(self.context.timer.now()) {
+                PieceOutcome::Bytes(bytes) => {
+                    if let Some(resume) = self.timing.record_event(self.context.timer.now()) {
                         request_log::resumed(&self.context, &self.caller, &resume);
                     }
                     return Some(Ok(bytes));
                 }
-                PieceEnd::Complete => {
+                PieceOutcome::Complete => {
                     self.complete();
                     return None;
                 }
-                PieceEnd::Failure(failure) => {
-                    if let Err(error) = self.leave(failure).await {
-                        return Some(Err(self.end(error)));
+                PieceOutcome::Failure(failure) => {
+                    if let Err(error) = self.abandon_attempt(failure).await {
+                        return Some(Err(self.finish_with_error(error)));
                     }
                 }
             }
@@ -149,97 +149,108 @@
     }
 
     fn complete(&mut self) {
-        self.is_over = true;
+        self.has_ended = true;
         if let Some(live) = self.live.take() {
-            self.context.endpoints.note_outcome(live.place.id(), None);
+            self.context.endpoints.note_outcome(live.slot.id(), None);
             let times = live.times(self.context.timer.now());
-            note_version(&self.context, &self.caller, &live.place.target, None, times);
-            live.answer.release(&self.context, live.place.id());
+            record_version_outcome(&self.context, &self.caller, &live.slot.target, None, times);
+            live.response.release(&self.context, live.slot.id());
         }
         note_survival(&self.context, &self.caller);
-        request_log::streamed(&self.context, &self.caller, &self.pace, self.ledger.attempts() + 1);
+        request_log::streamed(&self.context, &self.caller, &self.timing, self.ledger.attempts() + 1);
     }
 
-    fn end(&mut self, error: Error) -> Error {
-        self.is_over = true;
+    fn finish_with_error(&mut self, error: Error) -> Error {
+        self.has_ended = true;
         self.live = None;
         request_log::ended(&self.context, &self.caller, &error, self.ledger.attempts());
         note_given_up(&self.context, &self.caller);
         error
     }
 
-    /// Counts a failed attempt and says whether another may follow.
-    async fn leave(&mut self, failure: AttemptFailure) -> Result<()> {
+    /// Abandons the live attempt after a failure.
+    ///
+    /// # Errors
+    ///
+    /// The error for the caller if no further attempt may be made.
+    async fn abandon_attempt(&mut self, failure: AttemptFailure) -> Result<()> {
         let Some(live) = self.live.take() else {
             return Ok(());
         };
-        self.pace.note_loss(failure.as_str());
-        // Dropping the attempt closes its connection, which stops the old run.
-        let target = live.place.target.clone();
+        self.timing.record_loss(failure.as_str());
+        // Dropping the attempt closes its connection, which stops the generation at its engine.
+        let target = live.slot.target.clone();
         let times = live.times(self.context.timer.now());
-        note_version(&self.context, &self.caller, &target, Some(failure), times);
-        let has_survived = live.event_span(self.context.timer.now()) >= SURVIVAL;
-        self.held = live.keeper.as_ref().and_then(BackupKeeper::take);
+        record_version_outcome(&self.context, &self.caller, &target, Some(failure), times);
+        let has_survived = live.event_span(self.context.timer.now()) >= SURVIVAL_TIME;
+        self.resume_from = live.replicator.as_ref().and_then(BackupReplicator::take_location);
         drop(live);
         if has_survived {
             note_survival(&self.context, &self.caller);
         } else {
             check_crash(&self.context, &self.caller, &target, failure).await;
         }
-        self.fail(&target.id, failure)
+        self.record_failure(&target.id, failure)
     }
 
-    fn fail(&mut self, id: &EndpointId, failure: AttemptFailure) -> Result<()> {
+    fn record_failure(&mut self, id: &EndpointId, failure: AttemptFailure) -> Result<()> {
         self.context.endpoints.note_outcome(id, Some(failure));
         request_log::attempt_failed(&self.context, &self.caller, id, failure, self.relay.last());
         self.tried.push(EndpointId::clone(id));
         match end_attempt(&self.context, &self.caller, &mut self.ledger, failure) {
-            Some(reason) => Err(self.ended_by(reason)),
+            Some(reason) => Err(self.stop_error(reason)),
             None => Ok(()),
         }
     }
 
-    fn ended_by(&self, reason: StopReason) -> Error {
-        self.ledger.end(reason, self.relay.delivered(), BUSY_RETRY)
+    fn stop_error(&self, reason: StopReason) -> Error {
+        self.ledger.end(reason, self.relay.delivered(), BUSY_RETRY_AFTER)
     }
 
-    /// Opens an attempt if there is none.
+    /// Opens attempts until one streams or a response that is not a stream is to be returned.
     async fn ensure_live(&mut self) -> Result<()> {
-        while self.live.is_none() && self.refusal.is_none() {
-            let held = self.held.take();
+        while self.live.is_none() && self.plain_response.is_none() {
+            let resume_from = self.resume_from.take();
             let rule = self.context.rollouts.rule(&self.caller.service, self.is_first()).unwrap_or_default();
             let chooser =
                 EngineChooser { context: &self.context, caller: &self.caller, tried: &self.tried, versions: &rule };
-            let mut choice = chooser.choose(held).await;
+            let mut choice = chooser.choose(resume_from).await;
             if choice.is_err() && rule.only.is_some() {
-                // Nothing is refused for what the few endpoints on trial carry.
+                // A request is not refused because the few endpoints on trial are full: it is placed without the draw
+                // for them.
                 let rule = self.context.rollouts.rule(&self.caller.service, false).unwrap_or_default();
                 choice = EngineChooser { versions: &rule, ..chooser }.choose(None).await;
             }
             let choice = choice.map_err(|lack| {
-                let retry = lack.pause.max(BUSY_RETRY);
+                let retry = lack.pause.max(BUSY_RETRY_AFTER);
                 self.ledger.end(lack.reason, self.relay.delivered(), retry)
             })?;
-            let target = choice.place.target.clone();
+            let target = choice.slot.target.clone();
             let sent_at = self.context.timer.now();
             if let Err(failure) = self.open(choice).await {
                 let took = self.context.timer.now().since(sent_at);
                 let first = Some(took).filter(|_| self.is_first());
-                note_version(&self.context, &self.caller, &target, Some(failure), VersionTimes { first, gap: None });
+                record_version_outcome(
+                    &self.context,
+                    &self.caller,
+                    &target,
+                    Some(failure),
+                    AttemptTimes { first, gap: None },
+                );
                 check_crash(&self.context, &self.caller, &target, failure).await;
-                self.fail(&target.id, failure)?;
+                self.record_failure(&target.id, failure)?;
             }
         }
         Ok(())
     }
 
     async fn open(&mut self, choice: EngineChoice) -> std::result::Result<(), AttemptFailure> {
-        let EngineChoice { place, from, backup, prompt_at } = choice;
+        let EngineChoice { slot, from, backup, prompt_at } = choice;
         let headers = AttemptHeaders {
-            endpoint: Some(Name::clone(&place.target.entry)),
+            endpoint: Some(Name::clone(&slot.target.entry)),
             account: self.caller.account.as_ref().map(|account| Arc::clone(&account.name)),
             time_left: self.caller.time_left(self.context.timer.now()),
-            rank: Some(self.caller.rank()),
+            rank: Some(self.caller.priority()),
             weights: self.weights,
             cursor: self.relay.last(),
             backup_at: backup.as_ref().map(|backup| backup.source.address),
@@ -247,59 +258,63 @@
             prompt_at,
         };
         let start = AttemptStart { sent_at: self.context.timer.now(), is_first: self.is_first() };
-        request_log::attempt_placed(&self.context, &self.caller, &place, &headers);
-        let answer = self.open_head(&place, &headers).await?;
-        if let Some(load) = answer.head.load {
-            self.context.endpoints.note_load(place.id(), load);
+        request_log::attempt_placed(&self.context, &self.caller, &slot, &headers);
+        let response = self.await_head(&slot, &headers).await?;
+        if let Some(load) = response.head.load {
+            self.context.endpoints.note_load(slot.id(), load);
         }
-        match judge_answer(self.caller.route.kind, &self.caller.head.attempt_id, &place.target.entry, &answer.head) {
-            AnswerVerdict::Pass if answer.parts.status.is_success() => {
-                self.first_head.get_or_insert_with(|| answer.parts.clone());
-                self.weights = self.weights.or(answer.head.weights);
-                let keeper = self.keep_backup(&place, backup);
-                self.live = Some(LiveAttempt::new(place, answer, keeper, start));
+        match judge_answer(self.caller.route.kind, &self.caller.head.attempt_id, &slot.target.entry, &response.head) {
+            AnswerVerdict::Pass if response.parts.status.is_success() => {
+                self.first_head.get_or_insert_with(|| response.parts.clone());
+                self.weights = self.weights.or(response.head.weights);
+                let replicator = self.start_replicator(&slot, backup);
+                self.live = Some(LiveAttempt::new(slot, response, replicator, start));
                 Ok(())
             }
-            AnswerVerdict::Pass if self.relay.delivered() == 0 => self.pass_on(&place, answer).await,
+            AnswerVerdict::Pass if self.relay.delivered() == 0 => self.forward_buffered(&slot, response).await,
             AnswerVerdict::Pass | AnswerVerdict::PassOrRetry => Err(AttemptFailure::Failed),
             AnswerVerdict::Fail(failure) => Err(failure),
         }
     }
 
-    /// Whether the next attempt begins the generation, rather than going on with it.
+    /// Whether the next attempt begins the generation rather than resuming it.
     fn is_first(&self) -> bool {
         self.tried.is_empty() && self.caller.head.cursor.is_none()
     }
 
-    fn keep_backup(&self, place: &EndpointPlace, first: Option<BackupPlace>) -> Option<BackupKeeper> {
+    fn start_replicator(&self, slot: &EndpointSlot, first: Option<BackupLocation>) -> Option<BackupReplicator> {
         let has_moves = self.caller.engine.is_some_and(|engine| engine.has_moves);
         let is_kept = self.caller.route.kind.is_repeatable() && (has_moves || first.is_some());
-        is_kept.then(|| BackupKeeper::start(&self.context, &self.caller, place.target.clone(), first))
+        is_kept.then(|| BackupReplicator::start(&self.context, &self.caller, slot.target.clone(), first))
     }
 
-    /// Passes an answer on that is no stream.
-    async fn pass_on(&mut self, place: &EndpointPlace, answer: OpenAnswer) -> std::result::Result<(), AttemptFailure> {
-        self.refusal = Some(answer.read_whole(&self.context, place.id()).await?);
+    /// Buffers a response that is not a stream, to be returned to the caller.
+    async fn forward_buffered(
+        &mut self,
+        slot: &EndpointSlot,
+        response: OpenResponse,
+    ) -> std::result::Result<(), AttemptFailure> {
+        self.plain_response = Some(response.read_to_end(&self.context, slot.id()).await?);
         Ok(())
     }
 
-    async fn open_head(
+    async fn await_head(
         &self,
-        place: &EndpointPlace,
+        slot: &EndpointSlot,
         headers: &AttemptHeaders,
-    ) -> std::result::Result<OpenAnswer, AttemptFailure> {
+    ) -> std::result::Result<OpenResponse, AttemptFailure> {
         let tokens = match headers.backup_from {
             Some(_) => 0,
             None => self.caller.head.prompt.unwrap_or_default().prompt_tokens,
         };
-        let mut watch = SilenceWatch::before_first(tokens);
-        let mut sent = std::pin::pin!(send_attempt(&self.context, &self.caller, &place.target, headers));
+        let mut watch = LivenessWatch::before_first(tokens);
+        let mut sent = std::pin::pin!(send_attempt(&self.context, &self.caller, &slot.target, headers));
         loop {
             let limit = watch.limit(self.caller.time_left(self.context.timer.now()));
             if let Some(outcome) = self.context.timer.within(limit, sent.as_mut()).await {
                 return outcome;
             }
-            watch.check(&self.context, &self.caller, &place.target, 0).await?;
+            watch.check(&self.context, &self.caller, &slot.target, 0).await?;
         }
     }
 }
--- a/crates/hollyhook_gateway/src/forward/live_attempt.rs
+++ b/crates/hollyhook_gateway/src/forward/live_attempt.rs
@@ -5,29 +5,29 @@
 use hollyhook_core::{AttemptFailure, EventCutter, EventRelay, PieceVerdict, TimePoint};
 use http_body_util::BodyExt;
 
-use super::attempt::{EndpointPlace, OpenAnswer};
-use super::backup_keeper::BackupKeeper;
-use super::silence_watch::SilenceWatch;
-use super::version_note::VersionTimes;
+use super::attempt::{EndpointSlot, OpenResponse};
+use super::attempt_times::AttemptTimes;
+use super::backup_replicator::BackupReplicator;
+use super::liveness_watch::LivenessWatch;
 use crate::front::CallerRequest;
 use crate::gateway::GatewayContext;
 
-/// Events from which on the mean gap between them says something.
+/// Least number of events for which the mean gap between them is recorded.
 const GAP_EVENTS: u32 = 8;
 
-/// How an attempt began.
+/// How an attempt was started.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptStart {
     pub(super) sent_at: TimePoint,
-    /// Whether it begins the generation, rather than going on with it.
+    /// Whether the attempt begins the generation rather than resuming it.
     pub(super) is_first: bool,
 }
 
-/// One attempt whose events are being passed on.
+/// An attempt whose events are being forwarded to the caller.
 pub(super) struct LiveAttempt {
-    pub(super) place: EndpointPlace,
-    pub(super) answer: OpenAnswer,
-    pub(super) keeper: Option<BackupKeeper>,
+    pub(super) slot: EndpointSlot,
+    pub(super) response: OpenResponse,
+    pub(super) replicator: Option<BackupReplicator>,
     cutter: EventCutter,
     start: AttemptStart,
     first_event_at: Option<TimePoint>,
@@ -35,27 +35,27 @@
     events: u32,
 }
 
-/// What comes next of an attempt.
-pub(super) enum PieceEnd {
+/// Outcome of reading on from an attempt.
+pub(super) enum PieceOutcome {
     /// Whole events for the caller.
     Bytes(Bytes),
-    /// The stream's end.
+    /// The response body ended after a whole event.
     Complete,
-    /// Nothing more.
+    /// The attempt failed and sends no more events.
     Failure(AttemptFailure),
 }
 
 impl LiveAttempt {
     pub(super) fn new(
-        place: EndpointPlace,
-        answer: OpenAnswer,
-        keeper: Option<BackupKeeper>,
+        slot: EndpointSlot,
+        response: OpenResponse,
+        replicator: Option<BackupReplicator>,
         start: AttemptStart,
     ) -> Self {
         Self {
-            place,
-            answer,
-            keeper,
+            slot,
+            response,
+            replicator,
             cutter: EventCutter::default(),
             start,
             first_event_at: None,
@@ -64,63 +64,64 @@
         }
     }
 
-    /// How long it has taken, as far as other attempts can be compared with it.
-    pub(super) fn times(&self, now: TimePoint) -> VersionTimes {
+    /// Durations of this attempt that are comparable with those of other attempts.
+    pub(super) fn times(&self, now: TimePoint) -> AttemptTimes {
         let first = self.first_event_at.unwrap_or(now).since(self.start.sent_at);
         let span = self.first_event_at.zip(self.last_event_at).map(|(first, last)| last.since(first));
         let gap = span.filter(|_| self.events >= GAP_EVENTS).map(|span| span / (self.events - 1));
-        // What goes on elsewhere reads less of its prompt.
-        VersionTimes { first: Some(first).filter(|_| self.start.is_first), gap }
+        // A resumed generation prefills less of its prompt, so that its first event is not comparable.
+        AttemptTimes { first: Some(first).filter(|_| self.start.is_first), gap }
     }
 
-    /// The next whole events that the caller does not have.
+    /// Waits for the next whole events that the caller does not have yet.
     pub(super) async fn next_piece(
         &mut self,
         context: &GatewayContext,
         caller: &CallerRequest,
         relay: &mut EventRelay,
-    ) -> PieceEnd {
+    ) -> PieceOutcome {
         let mut watch = if self.first_event_at.is_some() {
-            SilenceWatch::between_events()
+            LivenessWatch::between_events()
         } else {
-            SilenceWatch::before_first(caller.head.prompt.unwrap_or_default().prompt_tokens)
+            LivenessWatch::before_first(caller.head.prompt.unwrap_or_default().prompt_tokens)
         };
         loop {
-            if let Some(end) = self.drain_cutter(relay, context.timer.now()) {
-                return end;
+            if let Some(outcome) = self.drain_events(relay, context.timer.now()) {
+                return outcome;
             }
             let limit = watch.limit(caller.time_left(context.timer.now()));
-            match context.timer.within(limit, self.answer.body.frame()).await {
+            match context.timer.within(limit, self.response.body.frame()).await {
                 Some(Some(Ok(frame))) => {
                     if let Ok(data) = frame.into_data() {
                         self.cutter.feed(&data);
                     }
                 }
-                Some(Some(Err(_error))) => return PieceEnd::Failure(AttemptFailure::Broken),
-                Some(None) if self.cutter.has_rest() => return PieceEnd::Failure(AttemptFailure::Garbled),
-                Some(None) => return PieceEnd::Complete,
+                Some(Some(Err(_error))) => return PieceOutcome::Failure(AttemptFailure::Broken),
+                Some(None) if self.cutter.has_rest() => return PieceOutcome::Failure(AttemptFailure::Garbled),
+                Some(None) => return PieceOutcome::Complete,
                 None => {
                     let delivered = self.delivered(relay);
-                    if let Err(failure) = watch.check(context, caller, &self.place.target, delivered).await {
-                        return PieceEnd::Failure(failure);
+                    if let Err(failure) = watch.check(context, caller, &self.slot.target, delivered).await {
+                        return PieceOutcome::Failure(failure);
                     }
                 }
             }
         }
     }
 
-    /// The number of the last event of this attempt that came, as far as it can be compared with what the engine made.
+    /// Events that the caller has, for comparison with the count in the engine's report; zero before the first event of
+    /// this attempt.
     fn delivered(&self, relay: &EventRelay) -> u64 {
         if self.first_event_at.is_some() { relay.last().unwrap_or(0).max(relay.delivered()) } else { 0 }
     }
 
-    /// For how long it has sent events.
+    /// Time since the first event of the attempt; zero before it.
     pub(super) fn event_span(&self, now: TimePoint) -> Duration {
         self.first_event_at.map_or(Duration::ZERO, |first| now.since(first))
     }
 
-    /// What the caller gets of the events that are whole.
-    fn drain_cutter(&mut self, relay: &mut EventRelay, now: TimePoint) -> Option<PieceEnd> {
+    /// Takes the buffered whole events and returns those that the caller does not have yet.
+    fn drain_events(&mut self, relay: &mut EventRelay, now: TimePoint) -> Option<PieceOutcome> {
         let mut ready = VecDeque::new();
         while let Some(piece) = self.cutter.next_piece() {
             self.first_event_at.get_or_insert(now);
@@ -129,15 +130,16 @@
             match relay.judge(&piece) {
                 PieceVerdict::Deliver => ready.push_back(piece.bytes),
                 PieceVerdict::Drop => {}
-                PieceVerdict::Gap if ready.is_empty() => return Some(PieceEnd::Failure(AttemptFailure::Garbled)),
-                // What came before the gap is delivered; the attempt is left when it is asked again.
+                PieceVerdict::Gap if ready.is_empty() => return Some(PieceOutcome::Failure(AttemptFailure::Garbled)),
+                // The events before the gap are delivered first. The later events of this attempt are gaps too, so that
+                // the attempt fails at the next of them.
                 PieceVerdict::Gap => break,
             }
         }
         if self.cutter.is_overfull() {
-            return Some(PieceEnd::Failure(AttemptFailure::Garbled));
+            return Some(PieceOutcome::Failure(AttemptFailure::Garbled));
         }
-        join(ready).map(PieceEnd::Bytes)
+        join(ready).map(PieceOutcome::Bytes)
     }
 }
 
--- a/crates/hollyhook_gateway/src/forward/mod.rs
+++ b/crates/hollyhook_gateway/src/forward/mod.rs
@@ -1,31 +1,31 @@
-//! Carrying a request to endpoints and the answer back.
+//! Forwarding of requests to endpoints and of responses to callers, with retries and resumed streams.
 
 mod attempt;
 mod attempt_end;
-mod backup_keeper;
+mod attempt_times;
+mod backup_replicator;
 mod crash_check;
 mod endpoint_probe;
 mod engine_choice;
 mod event_stream;
 mod live_attempt;
+mod liveness_watch;
 mod plain_call;
 mod request_log;
-mod silence_watch;
-mod stream_pace;
-mod version_note;
+mod stream_timing;
 
 use std::sync::Arc;
 
 use http::Response;
 
-use crate::front::{AnswerBody, CallerRequest, own_answer};
+use crate::front::{CallerRequest, ResponseBody, error_response};
 use crate::gateway::GatewayContext;
 
-/// Serves an admitted request.
-pub(crate) async fn forward(context: &Arc<GatewayContext>, caller: CallerRequest) -> Response<AnswerBody> {
-    if let Some(error) = crash_check::refuse(context, &caller) {
+/// Forwards an admitted request; returns the endpoint's response, or an error response.
+pub(crate) async fn forward(context: &Arc<GatewayContext>, caller: CallerRequest) -> Response<ResponseBody> {
+    if let Some(error) = crash_check::quarantine_error(context, &caller) {
         request_log::ended(context, &caller, &error, 0);
-        return own_answer(&error);
+        return error_response(&error);
     }
     context.count_first_send(&caller.service);
     let outcome = if caller.route.kind.is_stream() {
@@ -33,5 +33,5 @@
     } else {
         plain_call::forward_call(context, &caller).await
     };
-    outcome.unwrap_or_else(|error| own_answer(&error))
+    outcome.unwrap_or_else(|error| error_response(&error))
 }
--- a/crates/hollyhook_gateway/src/forward/plain_call.rs
+++ b/crates/hollyhook_gateway/src/forward/plain_call.rs
@@ -8,43 +8,43 @@
 use hollyhook_platform::AttemptHeaders;
 use http::Response;
 
-use super::attempt::{EndpointPlace, WholeAnswer, send_attempt};
+use super::attempt::{BufferedResponse, EndpointSlot, send_attempt};
 use super::attempt_end::end_attempt;
+use super::attempt_times::{AttemptTimes, record_version_outcome};
 use super::crash_check::{check_crash, note_given_up, note_survival};
 use super::request_log::{self, CallTrace};
-use super::version_note::{VersionTimes, note_version};
-use crate::front::{AnswerBody, CallerRequest};
+use crate::front::{CallerRequest, ResponseBody};
 use crate::gateway::{EndpointLack, GatewayContext};
 
-/// Attempts that endpoints may turn away, or that find no connection, before a caller is told to come back.
-const MOST_TURNED_AWAY: u32 = 3;
-/// When to come back after every endpoint turned a call away.
-const BUSY_RETRY: Duration = Duration::from_millis(120);
-/// An idempotent call is sent to a second endpoint after this many times its objective. Within the objective almost
-/// all calls are answered.
-const SILENCE_FACTOR: f64 = 1.6;
+/// Attempts that endpoints may reject, or that fail to connect, before the caller is told to retry later.
+const MAX_REJECTED: u32 = 3;
+/// Retry-After delay if every endpoint rejected a call.
+const BUSY_RETRY_AFTER: Duration = Duration::from_millis(120);
+/// An attempt at an idempotent call times out after this multiple of the route's latency objective, so that another
+/// endpoint can be tried. Almost all calls are answered within the objective.
+const ATTEMPT_TIMEOUT_FACTOR: f64 = 1.6;
 
-enum CallEnd {
-    /// To be passed on.
-    Answer(WholeAnswer),
-    /// A failure of the endpoint's own, passed on unless another attempt succeeds.
-    Fallback(WholeAnswer),
+enum CallOutcome {
+    /// The endpoint's response, to be returned to the caller.
+    Response(BufferedResponse),
+    /// The endpoint's error response, returned to the caller unless a further attempt succeeds.
+    Fallback(BufferedResponse),
     Failure(AttemptFailure),
 }
 
-/// Forwards a plain call and returns the endpoint's answer.
+/// Forwards a plain call and returns the endpoint's response.
 pub(super) async fn forward_call(
     context: &Arc<GatewayContext>,
     caller: &CallerRequest,
-) -> Result<Response<AnswerBody>> {
-    let ledger = AttemptLedger::for_route(&caller.route, MOST_TURNED_AWAY);
+) -> Result<Response<ResponseBody>> {
+    let ledger = AttemptLedger::for_route(&caller.route, MAX_REJECTED);
     let mut run = CallRun { context, caller, tried: Vec::new(), ledger, fallback: None, last: CallTrace::default() };
     let outcome = run.run().await;
     let attempts = run.ledger.attempts();
     match &outcome {
         Ok(response) => {
             request_log::answered(context, caller, response.status().as_u16(), &run.last, attempts);
-            // A failure of the endpoint's own may have come before the request could do harm.
+            // An endpoint may send an error response before the request can crash it: only a success proves survival.
             if response.status().is_success() {
                 note_survival(context, caller);
             }
@@ -62,109 +62,115 @@
     caller: &'a CallerRequest,
     tried: Vec<EndpointId>,
     ledger: AttemptLedger,
-    fallback: Option<WholeAnswer>,
+    fallback: Option<BufferedResponse>,
     last: CallTrace,
 }
 
 impl CallRun<'_> {
-    async fn run(&mut self) -> Result<Response<AnswerBody>> {
+    async fn run(&mut self) -> Result<Response<ResponseBody>> {
         loop {
-            let place = match self.place() {
-                Ok(place) => place,
-                Err(lack) => return self.give_up(lack.reason, lack.pause.max(BUSY_RETRY)),
+            let slot = match self.reserve_slot() {
+                Ok(slot) => slot,
+                Err(lack) => return self.give_up(lack.reason, lack.pause.max(BUSY_RETRY_AFTER)),
             };
-            self.last = CallTrace { endpoint: Some(EndpointId::clone(place.id())), known_ms: place.known_ms };
-            let end = self.attempt(&place).await;
-            let failure = match end {
-                CallEnd::Answer(answer) => return Ok(answer.into_response()),
-                CallEnd::Fallback(answer) => {
-                    self.fallback = Some(answer);
+            self.last = CallTrace { endpoint: Some(EndpointId::clone(slot.id())), known_ms: slot.known_ms };
+            let outcome = self.attempt(&slot).await;
+            let failure = match outcome {
+                CallOutcome::Response(response) => return Ok(response.into_response()),
+                CallOutcome::Fallback(response) => {
+                    self.fallback = Some(response);
                     AttemptFailure::Failed
                 }
-                CallEnd::Failure(failure) => failure,
+                CallOutcome::Failure(failure) => failure,
             };
-            request_log::attempt_failed(self.context, self.caller, place.id(), failure, None);
-            check_crash(self.context, self.caller, &place.target, failure).await;
-            self.tried.push(EndpointId::clone(place.id()));
+            request_log::attempt_failed(self.context, self.caller, slot.id(), failure, None);
+            check_crash(self.context, self.caller, &slot.target, failure).await;
+            self.tried.push(EndpointId::clone(slot.id()));
             if let Some(reason) = end_attempt(self.context, self.caller, &mut self.ledger, failure) {
-                return self.give_up(reason, BUSY_RETRY);
+                return self.give_up(reason, BUSY_RETRY_AFTER);
             }
         }
     }
 
-    fn give_up(&mut self, reason: StopReason, retry_after: Duration) -> Result<Response<AnswerBody>> {
+    fn give_up(&mut self, reason: StopReason, retry_after: Duration) -> Result<Response<ResponseBody>> {
         match self.fallback.take() {
-            Some(answer) => Ok(answer.into_response()),
+            Some(response) => Ok(response.into_response()),
             None => Err(self.ledger.end(reason, 0, retry_after)),
         }
     }
 
-    /// Takes a place for the next attempt.
+    /// Reserves a slot for the next attempt.
     ///
     /// # Errors
     ///
-    /// Why there is none.
-    fn place(&self) -> std::result::Result<EndpointPlace, EndpointLack> {
+    /// Why no endpoint admits the call.
+    fn reserve_slot(&self) -> std::result::Result<EndpointSlot, EndpointLack> {
         let rule = self.context.rollouts.rule(&self.caller.service, self.tried.is_empty()).unwrap_or_default();
         let query = RouteQuery::new(&self.caller.service).avoid(&self.tried).versions(&rule);
-        let kept = self.context.pool.rested(Duration::ZERO);
+        let kept = self.context.pool.idle_for(Duration::ZERO);
         let query = query.repeatable(self.caller.route.has_second_attempt()).prefer(&kept);
-        EndpointPlace::take_any(self.context, &query).ok_or_else(|| self.context.endpoints.lack(&query))
+        EndpointSlot::reserve_any(self.context, &query).ok_or_else(|| self.context.endpoints.lack(&query))
     }
 
-    async fn attempt(&self, place: &EndpointPlace) -> CallEnd {
+    async fn attempt(&self, slot: &EndpointSlot) -> CallOutcome {
         let left = self.caller.time_left(self.context.timer.now());
         let limit = self.attempt_limit(left);
         let sent_at = self.context.timer.now();
-        let late = if limit < left { AttemptFailure::Silent } else { AttemptFailure::Expired };
-        let end = self.context.timer.within(limit, self.exchange(place)).await;
-        let end = end.unwrap_or(CallEnd::Failure(late));
-        let failure = match &end {
-            CallEnd::Answer(_) => None,
-            CallEnd::Fallback(_) => Some(AttemptFailure::Failed),
-            CallEnd::Failure(failure) => Some(*failure),
+        let timeout_failure = if limit < left { AttemptFailure::Silent } else { AttemptFailure::Expired };
+        let outcome = self.context.timer.within(limit, self.exchange(slot)).await;
+        let outcome = outcome.unwrap_or(CallOutcome::Failure(timeout_failure));
+        let failure = match &outcome {
+            CallOutcome::Response(_) => None,
+            CallOutcome::Fallback(_) => Some(AttemptFailure::Failed),
+            CallOutcome::Failure(failure) => Some(*failure),
         };
-        self.context.endpoints.note_outcome(place.id(), failure);
+        self.context.endpoints.note_outcome(slot.id(), failure);
         let took = self.context.timer.now().since(sent_at);
-        note_version(self.context, self.caller, &place.target, failure, VersionTimes { first: Some(took), gap: None });
-        end
+        record_version_outcome(
+            self.context,
+            self.caller,
+            &slot.target,
+            failure,
+            AttemptTimes { first: Some(took), gap: None },
+        );
+        outcome
     }
 
-    /// How long this attempt may take: all that is left, unless another endpoint may be tried after it.
+    /// Time limit of the next attempt: all the time left, unless a further attempt may follow.
     fn attempt_limit(&self, left: Duration) -> Duration {
         if self.caller.route.kind != RequestKind::Idempotent || self.ledger.is_last() {
             return left;
         }
-        left.min(self.caller.route.objective.mul_f64(SILENCE_FACTOR))
+        left.min(self.caller.route.objective.mul_f64(ATTEMPT_TIMEOUT_FACTOR))
     }
 
-    async fn exchange(&self, place: &EndpointPlace) -> CallEnd {
+    async fn exchange(&self, slot: &EndpointSlot) -> CallOutcome {
         let caller = self.caller;
         let headers = AttemptHeaders {
-            endpoint: Some(Name::clone(&place.target.entry)),
+            endpoint: Some(Name::clone(&slot.target.entry)),
             account: caller.account.as_ref().map(|account| Arc::clone(&account.name)),
             time_left: caller.time_left(self.context.timer.now()),
             ..AttemptHeaders::default()
         };
-        let answer = match send_attempt(self.context, caller, &place.target, &headers).await {
-            Ok(answer) => answer,
-            Err(failure) => return CallEnd::Failure(failure),
+        let response = match send_attempt(self.context, caller, &slot.target, &headers).await {
+            Ok(response) => response,
+            Err(failure) => return CallOutcome::Failure(failure),
         };
-        if let Some(load) = answer.head.load {
-            self.context.endpoints.note_load(place.id(), load);
+        if let Some(load) = response.head.load {
+            self.context.endpoints.note_load(slot.id(), load);
         }
-        let verdict = judge_answer(caller.route.kind, &caller.head.attempt_id, &place.target.entry, &answer.head);
+        let verdict = judge_answer(caller.route.kind, &caller.head.attempt_id, &slot.target.entry, &response.head);
         if verdict == AnswerVerdict::Fail(AttemptFailure::Garbled) {
-            return CallEnd::Failure(AttemptFailure::Garbled);
+            return CallOutcome::Failure(AttemptFailure::Garbled);
         }
-        let whole = match answer.read_whole(self.context, place.id()).await {
+        let whole = match response.read_to_end(self.context, slot.id()).await {
             Ok(whole) => whole,
-            Err(failure) => return CallEnd::Failure(failure),
+            Err(failure) => return CallOutcome::Failure(failure),
         };
         match verdict {
-            AnswerVerdict::Pass => CallEnd::Answer(whole),
-            AnswerVerdict::PassOrRetry => CallEnd::Fallback(whole),
-            AnswerVerdict::Fail(failure) => CallEnd::Failure(failure),
+            AnswerVerdict::Pass => CallOutcome::Response(whole),
+            AnswerVerdict::PassOrRetry => CallOutcome::Fallback(whole),
+            AnswerVerdict::Fail(failure) => CallOutcome::Failure(failure),
         }
     }
 }
--- a/crates/hollyhook_gateway/src/forward/request_log.rs
+++ b/crates/hollyhook_gateway/src/forward/request_log.rs
@@ -1,11 +1,11 @@
-//! Log lines for what is decided about a request, in one form.
+//! Log events and metrics of a request's life cycle, with the same fields for every kind of request.
 
 use hollyhook_core::{AccountName, AttemptFailure, EndpointId, Error, RunState};
 use hollyhook_platform::AttemptHeaders;
 use hollyhook_telemetry::MetricMeasure;
 
-use super::attempt::EndpointPlace;
-use super::stream_pace::{StreamPace, StreamResume};
+use super::attempt::EndpointSlot;
+use super::stream_timing::{StreamResume, StreamTiming};
 use crate::front::CallerRequest;
 use crate::gateway::GatewayContext;
 
@@ -13,30 +13,30 @@
 #[derive(Debug, Default)]
 pub(super) struct CallTrace {
     pub(super) endpoint: Option<EndpointId>,
-    /// How old what the host knew of endpoints was when it was chosen, in milliseconds.
+    /// Age of this host's endpoint list when the endpoint was chosen, in milliseconds; `None` before the first list.
     pub(super) known_ms: Option<u64>,
 }
 
-/// An attempt is sent to an endpoint.
+/// Logs that an attempt is sent to an endpoint.
 pub(super) fn attempt_placed(
     context: &GatewayContext,
     caller: &CallerRequest,
-    place: &EndpointPlace,
+    slot: &EndpointSlot,
     headers: &AttemptHeaders,
 ) {
     let age_ms = context.timer.now().since(caller.arrived).as_millis() as u64;
     let backup_at = headers.backup_at.map(|address| address.to_string());
     let prompt_at = headers.prompt_at.map(|address| address.to_string());
-    // Names the generation over all attempts of its caller, each of which has an id of its own.
+    // The own part of the prompt identifies a generation across its caller's attempts, each of which has its own id.
     let own_part = caller.head.prompt.and_then(|prompt| prompt.own_part);
     let prompt = own_part.map(|part| format!("{part:x}"));
-    tracing::info!(request = %caller.head.attempt_id, route = %caller.route.name, endpoint = %place.target.id,
-        zone = %place.target.zone, open = place.open, known_ms = place.known_ms,
+    tracing::info!(request = %caller.head.attempt_id, route = %caller.route.name, endpoint = %slot.target.id,
+        zone = %slot.target.zone, open = slot.open, known_ms = slot.known_ms,
         left_ms = headers.time_left.as_millis() as u64, cursor = headers.cursor,
         is_from_backup = headers.backup_from.is_some(), backup_at, prompt_at, prompt, age_ms, "attempt.placed");
 }
 
-/// An attempt at an endpoint was of no use.
+/// Logs that an attempt at an endpoint failed.
 pub(super) fn attempt_failed(
     context: &GatewayContext,
     caller: &CallerRequest,
@@ -49,14 +49,14 @@
         failure = failure.as_str(), last_event, age_ms, "attempt.failed");
 }
 
-/// An endpoint ended that had begun to run a request.
+/// Logs that an endpoint crashed while it ran a request.
 pub(super) fn crashed(context: &GatewayContext, caller: &CallerRequest, endpoint: &EndpointId) {
     let age_ms = context.timer.now().since(caller.arrived).as_millis() as u64;
     tracing::info!(request = %caller.head.attempt_id, route = %caller.route.name, endpoint = %endpoint,
         digest = %caller.digest(), age_ms, "request.crashed_endpoint");
 }
 
-/// A stream goes on after a loss.
+/// Records that a stream resumed after an attempt was lost.
 pub(super) fn resumed(context: &GatewayContext, caller: &CallerRequest, resume: &StreamResume) {
     context.board.record_cause(MetricMeasure::ResumeLatency, resume.cause, resume.span);
     let pause_ms = resume.span.as_millis() as u64;
@@ -64,7 +64,7 @@
         "stream.resumed");
 }
 
-/// A request got its last answer, from the last endpoint that was tried.
+/// Records that a plain call was answered with an endpoint's response; `last` is the last attempt.
 pub(super) fn answered(context: &GatewayContext, caller: &CallerRequest, status: u16, last: &CallTrace, attempts: u32) {
     let age = context.timer.now().since(caller.arrived);
     context.board.count("requests_answered");
@@ -75,26 +75,26 @@
         age_ms, "request.answered");
 }
 
-/// A stream reached its end.
-pub(super) fn streamed(context: &GatewayContext, caller: &CallerRequest, pace: &StreamPace, attempts: u32) {
+/// Records that a stream was delivered to its end.
+pub(super) fn streamed(context: &GatewayContext, caller: &CallerRequest, timing: &StreamTiming, attempts: u32) {
     let age_ms = context.timer.now().since(caller.arrived).as_millis() as u64;
     let account = account_label(caller);
     context.board.count("requests_streamed");
-    if let Some(first) = pace.first() {
+    if let Some(first) = timing.first() {
         let first = first.since(caller.arrived);
         context.board.record(MetricMeasure::FirstToken, &account, &caller.route.name, &[first]);
     }
-    context.board.record(MetricMeasure::LongestGap, &account, &caller.route.name, &[pace.longest_gap()]);
-    if !pace.resumes().is_empty() {
-        context.board.record(MetricMeasure::ResumeLatency, &account, &caller.route.name, pace.resumes());
+    context.board.record(MetricMeasure::LongestGap, &account, &caller.route.name, &[timing.longest_gap()]);
+    if !timing.resumes().is_empty() {
+        context.board.record(MetricMeasure::ResumeLatency, &account, &caller.route.name, timing.resumes());
     }
-    let first_ms = pace.first().map(|first| first.since(caller.arrived).as_millis() as u64);
-    let longest_gap_ms = pace.longest_gap().as_millis() as u64;
+    let first_ms = timing.first().map(|first| first.since(caller.arrived).as_millis() as u64);
+    let longest_gap_ms = timing.longest_gap().as_millis() as u64;
     tracing::info!(request = %caller.head.attempt_id, route = %caller.route.name, service = %caller.service,
         site_version = caller.site_version, status = 200, attempts, age_ms, first_ms, longest_gap_ms, cursor = caller.head.cursor, "request.streamed");
 }
 
-/// A request was refused, or its outcome is not known.
+/// Records that a request ended with an error: refused, cut off, or with an unknown outcome.
 pub(super) fn ended(context: &GatewayContext, caller: &CallerRequest, error: &Error, attempts: u32) {
     context.board.count(ended_counter(error));
     let age_ms = context.timer.now().since(caller.arrived).as_millis() as u64;
@@ -102,7 +102,7 @@
         site_version = caller.site_version, kind = %error.kind(), attempts, age_ms, reason = %error.message(), "request.ended");
 }
 
-/// Whom a request's times are counted for.
+/// Account label of a request's metrics; `public` for a request without an account.
 fn account_label(caller: &CallerRequest) -> AccountName {
     let account = caller.account.as_ref().map(|account| AccountName::clone(&account.name));
     account.unwrap_or_else(|| "public".into())
--- a/crates/hollyhook_gateway/src/front/admission.rs
+++ b/crates/hollyhook_gateway/src/front/admission.rs
@@ -12,35 +12,36 @@
 use super::body_reader::read_body;
 use crate::gateway::GatewayContext;
 
-/// When the caller of a plain call should come back whose host does not know the configuration, or not for certain:
-/// another host most likely does, and a call waits for a second at most.
-const UNCERTAIN_CALL_RETRY: Duration = Duration::from_millis(10);
-/// The same for a stream; a longer one, to outlast an outage of the store for all hosts, leaves too little time to serve it.
-const UNCERTAIN_STREAM_RETRY: Duration = Duration::from_millis(150);
-/// When a caller should come back whose host is stopping; the next connection goes to another one.
+/// Retry-After delay if this host has no configuration, or none that the platform has confirmed recently, for a plain
+/// call and before the route is known. Another host most likely has one, and a call waits for one second at most.
+const UNCONFIRMED_CALL_RETRY: Duration = Duration::from_millis(10);
+/// Retry-After delay of a stream in the same case. A longer delay, to outlast an outage of the store for all hosts,
+/// would leave too little time to serve the stream.
+const UNCONFIRMED_STREAM_RETRY: Duration = Duration::from_millis(150);
+/// Retry-After delay if this host is stopping; the caller's next connection goes to another host.
 const STOPPING_RETRY: Duration = Duration::from_millis(20);
-/// When a caller should come back whose route leads nowhere: a newer configuration may say otherwise.
+/// Retry-After delay if a route leads to no service: a newer configuration may add one.
 const NO_SERVICE_RETRY: Duration = Duration::from_millis(500);
 
-/// Reads and checks a request: where it goes, who asks, whether it can be served here.
+/// Reads a request, finds its route, account and service, and checks that this host can serve it.
 ///
 /// # Errors
 ///
-/// Whatever the caller is to be told; nothing of the request has run then.
+/// The error for the caller; the request has not run then.
 pub(super) async fn admit(parts: Parts, body: Incoming, context: &Arc<GatewayContext>) -> Result<CallerRequest> {
     let arrived = context.timer.now();
     let guard = context.load.begin();
     context.wait_for_start().await;
-    let site = context.site().ok_or_else(|| uncertain(None))?;
+    let site = context.site().ok_or_else(|| unconfirmed_error(None))?;
     check_method(&parts)?;
     let head = hollyhook_platform::caller_head(&parts.headers)?;
-    let route = find_route(&site, &parts).map_err(|error| certain(error, context))?;
+    let route = find_route(&site, &parts).map_err(|error| if_confirmed(error, context))?;
     let account = find_account(&site, &route, head.key.as_ref(), context)?;
-    let patience = head.patience.unwrap_or(route.timeout).min(route.timeout);
-    check_stop(&route, patience, context)?;
-    let deadline = arrived + patience;
+    let wait_limit = head.patience.unwrap_or(route.timeout).min(route.timeout);
+    check_not_stopping(&route, wait_limit, context)?;
+    let deadline = arrived + wait_limit;
     let (body, claim) = read_body(body, site.limits().body_bytes, deadline, context).await?;
-    let service = draw_service(&route)?;
+    let service = pick_service(&route)?;
     let engine = site.service(&service).and_then(|service| service.engine);
     Ok(CallerRequest {
         method: parts.method,
@@ -60,7 +61,7 @@
     })
 }
 
-/// Refuses what is not meant for a server.
+/// Refuses `CONNECT`, which asks for a tunnel.
 fn check_method(parts: &Parts) -> Result<()> {
     if parts.method == Method::CONNECT {
         return Err(Error::new(ErrorKind::MalformedHead, "this host opens no tunnels").param("method"));
@@ -87,33 +88,34 @@
     context: &GatewayContext,
 ) -> Result<Option<Arc<AccountPlan>>> {
     if !route.is_public && !context.is_site_current() {
-        return Err(uncertain(Some(route)));
+        return Err(unconfirmed_error(Some(route)));
     }
     let account = site.account(route, key.map(|key| &**key));
-    account.map_err(|error| certain(error, context))
+    account.map_err(|error| if_confirmed(error, context))
 }
 
-/// Refuses for what the configuration says only while it is known to be the newest.
-fn certain(error: Error, context: &GatewayContext) -> Error {
-    if context.is_site_current() { error } else { uncertain(None) }
+/// Returns an error that follows from the configuration only while the configuration is confirmed to be current;
+/// otherwise `PlatformDown`, since a newer configuration may admit the request.
+fn if_confirmed(error: Error, context: &GatewayContext) -> Error {
+    if context.is_site_current() { error } else { unconfirmed_error(None) }
 }
 
-fn uncertain(route: Option<&RoutePlan>) -> Error {
+fn unconfirmed_error(route: Option<&RoutePlan>) -> Error {
     let why = "the platform has not confirmed this host's configuration for too long";
     let is_stream = route.is_some_and(|route| route.kind.is_stream());
-    let retry = if is_stream { UNCERTAIN_STREAM_RETRY } else { UNCERTAIN_CALL_RETRY };
+    let retry = if is_stream { UNCONFIRMED_STREAM_RETRY } else { UNCONFIRMED_CALL_RETRY };
     Error::new(ErrorKind::PlatformDown, why).retry_after(retry)
 }
 
-fn check_stop(route: &RoutePlan, patience: Duration, context: &GatewayContext) -> Result<()> {
-    if context.is_taking(route.kind, patience) {
+fn check_not_stopping(route: &RoutePlan, wait_limit: Duration, context: &GatewayContext) -> Result<()> {
+    if context.is_taking(route.kind, wait_limit) {
         return Ok(());
     }
     let why = "this host is stopping and the request might not end in time";
     Err(Error::new(ErrorKind::Draining, why).retry_after(STOPPING_RETRY))
 }
 
-fn draw_service(route: &RoutePlan) -> Result<Name> {
+fn pick_service(route: &RoutePlan) -> Result<Name> {
     let total = route.total_weight();
     let draw = if total > 1 { rand::rng().random_range(0..total) } else { 0 };
     route.service(draw).ok_or_else(|| {
--- a/crates/hollyhook_gateway/src/front/body_reader.rs
+++ b/crates/hollyhook_gateway/src/front/body_reader.rs
@@ -8,29 +8,29 @@
 
 use crate::gateway::{BodyClaim, GatewayContext};
 
-/// How long a body may take to arrive, if neither caller nor route gives up sooner.
+/// Time limit for receiving a body, if the request's deadline is not sooner.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// When a caller should come back for whom there is no memory.
+/// Retry-After delay if the memory for bodies is used up.
 const MEMORY_RETRY: Duration = Duration::from_millis(500);
 
-/// Reads a caller's body whole, within its limits; the claim holds its memory.
+/// Reads a caller's whole body within the size and time limits; the returned claim accounts for the body's memory.
 pub(super) async fn read_body(
     body: Incoming,
-    most: usize,
+    max_bytes: usize,
     deadline: TimePoint,
     context: &Arc<GatewayContext>,
 ) -> Result<(Bytes, BodyClaim)> {
     let limit = deadline.since(context.timer.now()).min(BODY_TIMEOUT);
     let mut claim = context.load.claim_body();
-    let read = context.timer.within(limit, collect(body, most, &mut claim)).await;
-    let late = || Err(Error::new(ErrorKind::RequestTimeout, "the body did not arrive in time"));
-    let bytes = read.unwrap_or_else(late)?;
+    let read = context.timer.within(limit, collect(body, max_bytes, &mut claim)).await;
+    let timed_out = || Err(Error::new(ErrorKind::RequestTimeout, "the body did not arrive in time"));
+    let bytes = read.unwrap_or_else(timed_out)?;
     Ok((bytes, claim))
 }
 
-async fn collect(mut body: Incoming, most: usize, claim: &mut BodyClaim) -> Result<Bytes> {
-    if body.size_hint().lower() > most as u64 {
-        return Err(too_large(most));
+async fn collect(mut body: Incoming, max_bytes: usize, claim: &mut BodyClaim) -> Result<Bytes> {
+    if body.size_hint().lower() > max_bytes as u64 {
+        return Err(too_large(max_bytes));
     }
     let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
@@ -40,8 +40,8 @@
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if bytes.len() + data.len() > most {
-            return Err(too_large(most));
+        if bytes.len() + data.len() > max_bytes {
+            return Err(too_large(max_bytes));
         }
         if !claim.grow(data.len()) {
             let why = "requests under way take all memory for bodies";
@@ -52,6 +52,6 @@
     Ok(bytes.freeze())
 }
 
-fn too_large(most: usize) -> Error {
-    Error::new(ErrorKind::BodyTooLarge, format!("the body is larger than {most} bytes"))
+fn too_large(max_bytes: usize) -> Error {
+    Error::new(ErrorKind::BodyTooLarge, format!("the body is larger than {max_bytes} bytes"))
 }
--- a/crates/hollyhook_gateway/src/front/caller_request.rs
+++ b/crates/hollyhook_gateway/src/front/caller_request.rs
@@ -7,7 +7,7 @@
 
 use crate::gateway::{BodyClaim, RequestGuard};
 
-/// A caller's request, read whole and admitted.
+/// An admitted request of a caller, with its whole body.
 #[derive(Debug)]
 pub(crate) struct CallerRequest {
     pub(crate) method: Method,
@@ -18,33 +18,33 @@
     pub(crate) route: Arc<RoutePlan>,
     pub(crate) account: Option<Arc<AccountPlan>>,
     pub(crate) service: Name,
-    /// The memory of the service's engines; none for a plain service.
+    /// KV-cache memory of the service's engines; `None` for a plain service.
     pub(crate) engine: Option<EngineMemory>,
-    /// The version of the configuration that admitted it.
+    /// Version of the configuration that admitted the request.
     pub(crate) site_version: u64,
-    /// When the head had arrived.
+    /// When the head of the request had arrived.
     pub(crate) arrived: TimePoint,
-    /// When the caller or the route gives up.
+    /// When the caller's or the route's time limit ends, whichever is sooner.
     pub(crate) deadline: TimePoint,
     pub(crate) _claim: BodyClaim,
     pub(crate) _guard: RequestGuard,
 }
 
 impl CallerRequest {
-    /// How long the caller and the route still wait.
+    /// Time until the deadline; zero after it.
     pub(crate) fn time_left(&self, now: TimePoint) -> Duration {
         self.deadline.since(now)
     }
 
-    /// Names it over all its client attempts.
+    /// Digest of path, account and body, which identifies the request across the client's attempts.
     pub(crate) fn digest(&self) -> RequestDigest {
         let path = self.uri.path_and_query().map_or("/", |path| path.as_str());
         let account = self.account.as_ref().map(|account| &*account.name);
         RequestDigest::new(path, account, &self.body)
     }
 
-    /// The rank that goes before the route's is the account's.
-    pub(crate) fn rank(&self) -> u8 {
+    /// Priority of the request, 0 first: the account's if it has one, else the route's.
+    pub(crate) fn priority(&self) -> u8 {
         self.account.as_ref().and_then(|account| account.rank).unwrap_or(self.route.rank)
     }
 }
--- a/crates/hollyhook_gateway/src/front/front_server.rs
+++ b/crates/hollyhook_gateway/src/front/front_server.rs
@@ -16,14 +16,16 @@
 use crate::gateway::GatewayContext;
 use crate::net::wire_stream;
 
-/// The pause after a connection could not be taken, most likely for want of descriptors.
+/// Delay after a failed accept, which most likely failed because the process has no file descriptors left.
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Callers' connections at a time. A process has 4,100 descriptors on the smallest hosts; the rest are for endpoints.
-const MOST_CONNECTIONS: usize = 2_500;
-/// How often a connection looks whether it was idle too long or the gateway stops.
+/// Maximum number of callers' connections. A process has 4,100 file descriptors on the smallest hosts; the rest are
+/// left for connections to endpoints.
+const MAX_CONNECTIONS: usize = 2_500;
+/// Interval at which a connection checks whether its idle timeout has passed or the gateway is closing.
 const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Takes callers' connections until the process ends; each closes by itself when it is idle too long or the host stops.
+/// Accepts callers' connections until the process ends; each connection closes after its idle timeout or when the host
+/// stops.
 pub(crate) async fn serve_callers(listener: TcpListener, context: Arc<GatewayContext>) {
     let connections = Arc::new(AtomicUsize::new(0));
     loop {
@@ -31,8 +33,8 @@
             context.timer.wait(ACCEPT_PAUSE).await;
             continue;
         };
-        if connections.load(Ordering::Relaxed) >= MOST_CONNECTIONS {
-            tracing::info!(connections = MOST_CONNECTIONS, "caller.connection_refused");
+        if connections.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
+            tracing::info!(connections = MAX_CONNECTIONS, "caller.connection_refused");
             continue;
         }
         connections.fetch_add(1, Ordering::Relaxed);
@@ -66,7 +68,7 @@
         let now = context.timer.now();
         let is_idle_too_long = now >= watch.expires(now, limits.idle_timeout);
         if is_idle_too_long || context.phase() >= StopPhase::Closing {
-            // Ends at once if no request is under way, else after its answer.
+            // Closes the connection at once if no request is in progress, else after the response.
             connection.as_mut().graceful_shutdown();
         }
     }
--- a/crates/hollyhook_gateway/src/front/idle_watch.rs
+++ b/crates/hollyhook_gateway/src/front/idle_watch.rs
@@ -3,7 +3,7 @@
 
 use hollyhook_core::TimePoint;
 
-/// Since when a caller's connection has had no request.
+/// Tracks whether a caller's connection has requests in progress, and since when it has none.
 #[derive(Debug)]
 pub(crate) struct IdleWatch {
     active: AtomicU32,
@@ -24,7 +24,7 @@
         self.idle_since_us.store(now.as_micros(), Ordering::Relaxed);
     }
 
-    /// When the connection will have been idle for `limit`; `limit` from now if it is not idle.
+    /// When the connection will have been idle for `limit`; `now + limit` while it has a request in progress.
     pub(crate) fn expires(&self, now: TimePoint, limit: Duration) -> TimePoint {
         if self.active.load(Ordering::Relaxed) > 0 {
             return now + limit;
--- a/crates/hollyhook_gateway/src/front/mod.rs
+++ b/crates/hollyhook_gateway/src/front/mod.rs
@@ -1,15 +1,15 @@
-//! What faces callers and the platform's balancer.
+//! Servers for callers, for the platform's balancer and for metrics scrapers.
 
 mod admission;
 mod body_reader;
 mod caller_request;
 mod front_server;
 mod idle_watch;
-mod own_answer;
 mod request_handler;
+mod response_body;
 mod status_server;
 
 pub(crate) use caller_request::CallerRequest;
 pub(crate) use front_server::{ACCEPT_PAUSE, serve_callers};
-pub(crate) use own_answer::{AnswerBody, own_answer, whole_body};
+pub(crate) use response_body::{ResponseBody, error_response, full_body};
 pub(crate) use status_server::{metrics_response, readiness_response, serve_status};
--- a/crates/hollyhook_gateway/src/front/request_handler.rs
+++ b/crates/hollyhook_gateway/src/front/request_handler.rs
@@ -8,21 +8,22 @@
 
 use super::admission::admit;
 use super::idle_watch::IdleWatch;
-use super::{AnswerBody, own_answer};
+use super::{ResponseBody, error_response};
 use crate::forward::forward;
 use crate::gateway::GatewayContext;
 
-/// Answers one request of a caller.
+/// Serves one request of a caller.
 pub(super) async fn handle(
     request: Request<Incoming>,
     context: &Arc<GatewayContext>,
     watch: Arc<IdleWatch>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     watch.begin();
-    let active = ActiveMark { context: Arc::clone(context), watch };
+    let active = ActiveGuard { context: Arc::clone(context), watch };
     let (parts, body) = request.into_parts();
-    // The parser drops a length that stands beside chunks (RFC 9112, 6.3), so that it can't be seen here; who framed the
-    // body by that length takes the rest of it for the next request. Nothing is read after a chunked body.
+    // The parser removes a `Content-Length` next to `Transfer-Encoding: chunked` (RFC 9112, 6.3), so that it can't be
+    // detected here. A peer that framed the body by that length would take the rest of it for the next request. So the
+    // connection is closed after a chunked body.
     let is_chunked = parts.headers.contains_key(TRANSFER_ENCODING);
     let id = hollyhook_platform::attempt_id(&parts.headers).map(str::to_owned);
     let mut response = match admit(parts, body, context).await {
@@ -33,7 +34,7 @@
             let confirmed_ms_ago = context.site_age().map(|age| age.as_millis() as u64);
             tracing::info!(request = id, kind = %error.kind(), site_version = version, confirmed_ms_ago,
                 phase = ?context.phase(), reason = %error.message(), "request.refused");
-            own_answer(&error)
+            error_response(&error)
         }
     };
     if is_chunked || context.phase() != StopPhase::Serving {
@@ -41,7 +42,7 @@
     }
     response.map(|body| {
         let marked = body.map_frame(move |frame| {
-            // The connection is not idle before the body has gone.
+            // The connection counts as active until the body has been sent.
             let _active = &active;
             frame
         });
@@ -49,13 +50,13 @@
     })
 }
 
-/// Marks a connection as not idle while a request and its answer are under way.
-struct ActiveMark {
+/// Keeps a connection marked as active until the response body is dropped.
+struct ActiveGuard {
     context: Arc<GatewayContext>,
     watch: Arc<IdleWatch>,
 }
 
-impl Drop for ActiveMark {
+impl Drop for ActiveGuard {
     fn drop(&mut self) {
         self.watch.end(self.context.timer.now());
     }
--- a/crates/hollyhook_gateway/src/front/status_server.rs
+++ b/crates/hollyhook_gateway/src/front/status_server.rs
@@ -16,12 +16,12 @@
 use crate::net::wire_stream;
 
 const METRICS_PATH: &str = "/metrics";
-/// The exposition format that scrapers expect.
+/// Content type of the exposition format that scrapers expect.
 const METRICS_TYPE: HeaderValue =
     HeaderValue::from_static("application/openmetrics-text; version=1.0.0; charset=utf-8");
 
-/// Answers short questions about this host: each connection is served until its peer closes it.
-pub(crate) async fn serve_status<F>(listener: TcpListener, context: Arc<GatewayContext>, answer: F)
+/// Serves status requests about this host; each connection is served until its peer closes it.
+pub(crate) async fn serve_status<F>(listener: TcpListener, context: Arc<GatewayContext>, respond: F)
 where
     F: Fn(&GatewayContext, &str) -> Response<Full<Bytes>> + Copy + Send + Sync + 'static,
 {
@@ -33,16 +33,16 @@
         let context = Arc::clone(&context);
         task::spawn(async move {
             let service = service_fn(|request: Request<Incoming>| {
-                let response = answer(&context, request.uri().path());
+                let response = respond(&context, request.uri().path());
                 async move { Ok::<_, Infallible>(response) }
             });
-            // Whoever asked asks again on a new connection.
+            // After a connection error the peer sends its next request on a new connection.
             let _outcome = http1::Builder::new().serve_connection(wire_stream(stream), service).await;
         });
     }
 }
 
-/// Whether this host takes callers, as the platform's balancer asks it.
+/// Responds to the balancer's readiness check: 200 if this host admits callers, 503 if not, 404 for another path.
 pub(crate) fn readiness_response(context: &GatewayContext, path: &str) -> Response<Full<Bytes>> {
     if !hollyhook_platform::is_ready_path(path) {
         return empty(StatusCode::NOT_FOUND);
@@ -50,7 +50,7 @@
     empty(if context.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
 
-/// Counters and histograms.
+/// Responds with the counters and histograms.
 pub(crate) fn metrics_response(context: &GatewayContext, path: &str) -> Response<Full<Bytes>> {
     if path != METRICS_PATH {
         return empty(StatusCode::NOT_FOUND);
--- a/crates/hollyhook_gateway/src/net/dial.rs
+++ b/crates/hollyhook_gateway/src/net/dial.rs
@@ -6,20 +6,20 @@
 use hollyhook_kernel::TimerService;
 use socket2::SockRef;
 
-/// How long sent bytes may stay unacknowledged before the kernel gives a connection up.
+/// How long sent bytes may stay unacknowledged before the kernel closes a connection.
 ///
-/// A partition drops packets without a word; without this the kernel would send again for many minutes.
+/// A partition drops packets silently; without this timeout the kernel would retransmit for many minutes.
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Connects, or gives up after `limit`.
+/// Opens a TCP connection; fails with `TimedOut` after `limit`.
 pub(crate) async fn dial(timer: &TimerService, address: SocketAddr, limit: Duration) -> Result<Async<TcpStream>> {
     let connected = timer.within(limit, Async::<TcpStream>::connect(address)).await;
     let stream = connected.unwrap_or_else(|| Err(Error::from(ErrorKind::TimedOut)))?;
-    // An event is a small write; waiting to join it with the next one would delay it.
+    // An event is a small write, which Nagle's algorithm would delay.
     let socket = SockRef::from(stream.get_ref());
     socket.set_tcp_nodelay(true)?;
-    // A connection is only closed to stop what was sent on it, or when nothing is under way. A reset makes the peer
-    // stop at once, and takes back what a partition holds up: it must not run long after its caller has left.
+    // A connection is closed only to cancel the request sent on it, or when it is idle. A reset makes the peer stop at
+    // once and discards bytes that a partition holds up: such a request must not run long after its caller has left.
     socket.set_linger(Some(Duration::ZERO))?;
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
     Ok(stream)
--- a/crates/hollyhook_gateway/src/net/mod.rs
+++ b/crates/hollyhook_gateway/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets and timers as `hyper` wants them.
+//! Outgoing connections, and sockets adapted to `hyper`.
 
 mod dial;
 mod persistent_client;
--- a/crates/hollyhook_gateway/src/net/persistent_client.rs
+++ b/crates/hollyhook_gateway/src/net/persistent_client.rs
@@ -10,23 +10,23 @@
 use super::dial;
 use crate::pool::PooledConnection;
 
-/// How long a connection may take; the store and other hosts answer within milliseconds from within the region.
+/// Time limit for connecting. The store and other hosts, in the same region, accept within milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The most bytes of one answer: the store states about 1 MB a page, and a host with a link of 1 Gbit/s tells some forty thousand
-/// endpoints at once, in up to 300 bytes each.
-const MOST_BYTES: usize = 16 << 20;
+/// Maximum size of a response body. The store sends pages of about 1 MB. A host with a link of 1 Gbit/s sends some
+/// forty thousand endpoints at once, in up to 300 bytes each.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Why a call gave nothing.
+/// Why an HTTP exchange failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ExchangeError(pub(crate) &'static str);
 
-/// Calls one server after another over one kept connection.
+/// HTTP client that sends one request at a time and keeps one connection open, to the server called last.
 pub(crate) struct PersistentClient {
     timer: TimerService,
-    connection: Option<LineConnection>,
+    connection: Option<ClientConnection>,
 }
 
-struct LineConnection {
+struct ClientConnection {
     address: SocketAddr,
     inner: PooledConnection,
 }
@@ -36,7 +36,11 @@
         Self { timer, connection: None }
     }
 
-    /// Sends a request and reads the whole answer, or gives up after `limit`.
+    /// Sends a request and reads the whole response.
+    ///
+    /// # Errors
+    ///
+    /// If the connection fails, the response is too large, or the exchange takes longer than `limit`.
     pub(crate) async fn call(
         &mut self,
         address: SocketAddr,
@@ -46,9 +50,9 @@
         let timer = self.timer.clone();
         let outcome = timer.within(limit, self.exchange(address, request)).await;
         outcome.unwrap_or_else(|| {
-            // A connection on which an answer was lost returns nothing further.
+            // A connection with an unanswered request can't carry another one.
             self.connection = None;
-            Err(ExchangeError("no answer in time"))
+            Err(ExchangeError("no response within the time limit"))
         })
     }
 
@@ -62,29 +66,34 @@
             Some(connection) => connection,
             None => self.connect(address).await?,
         };
-        let response = connection.inner.send(request).await.map_err(|_fault| ExchangeError("the connection broke"))?;
+        let response = connection
+            .inner
+            .send(request)
+            .await
+            .map_err(|_fault| ExchangeError("the connection failed or sent no valid response head"))?;
         let (parts, body) = response.into_parts();
-        let body = Limited::new(body, MOST_BYTES).collect().await;
-        let body = body.map_err(|_error| ExchangeError("the answer was cut off"))?.to_bytes();
+        let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
+        let body = body.map_err(|_error| ExchangeError("the response body was truncated or too large"))?.to_bytes();
         self.connection = Some(connection);
         Ok(Response::from_parts(parts, body))
     }
 
-    async fn connect(&self, address: SocketAddr) -> Result<LineConnection, ExchangeError> {
+    async fn connect(&self, address: SocketAddr) -> Result<ClientConnection, ExchangeError> {
         let stream = dial(&self.timer, address, CONNECT_TIMEOUT).await;
-        let stream = stream.map_err(|_error| ExchangeError("no connection"))?;
-        let inner = PooledConnection::start(stream).await.map_err(|_error| ExchangeError("no connection"))?;
-        Ok(LineConnection { address, inner })
+        let stream = stream.map_err(|_error| ExchangeError("connecting failed"))?;
+        let inner =
+            PooledConnection::start(stream).await.map_err(|_error| ExchangeError("the HTTP/1.1 handshake failed"))?;
+        Ok(ClientConnection { address, inner })
     }
 }
 
 impl fmt::Debug for PersistentClient {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("KeptLine").finish_non_exhaustive()
+        f.debug_struct("PersistentClient").finish_non_exhaustive()
     }
 }
 
-/// A request for a path; the body is empty for most.
+/// Builds a request with a JSON body, which may be empty.
 pub(crate) fn build_request(
     method: http::Method,
     address: SocketAddr,
@@ -93,5 +102,5 @@
 ) -> Result<Request<Full<Bytes>>, ExchangeError> {
     let builder = Request::builder().method(method).uri(path).header(header::HOST, address.to_string());
     let builder = builder.header(header::CONTENT_TYPE, "application/json");
-    builder.body(Full::new(body.into())).map_err(|_error| ExchangeError("the path is not valid"))
+    builder.body(Full::new(body.into())).map_err(|_error| ExchangeError("the request path is not a valid URI"))
 }
--- a/crates/hollyhook_gateway/src/pool/connection_pool.rs
+++ b/crates/hollyhook_gateway/src/pool/connection_pool.rs
@@ -12,15 +12,17 @@
 use crate::net::dial;
 use crate::sync::lock;
 
-/// How long a connection is kept whose peer does not say how long it keeps it.
-const DEFAULT_KEEP: Duration = Duration::from_secs(4);
-/// How much earlier than its peer a connection is given up, so that no request crosses its closing.
-const KEEP_MARGIN: Duration = Duration::from_millis(900);
-/// Idle connections kept for one endpoint. The smallest services take about a hundred from all hosts together.
-const MOST_IDLE: usize = 6;
+/// How long an idle connection is kept if the peer states no keep-alive timeout.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
+/// How much earlier than the peer's timeout an idle connection expires, so that no request is sent while the peer
+/// closes it.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(900);
+/// Maximum number of idle connections kept for one endpoint. Endpoints of the smallest services accept about a hundred
+/// connections from all hosts together.
+const MAX_IDLE_PER_ENDPOINT: usize = 6;
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Idle connections by the incarnation of the endpoint that they lead to.
+/// Pool of idle connections, by the incarnation of the endpoint that they lead to.
 #[derive(Debug)]
 pub(crate) struct ConnectionPool {
     timer: TimerService,
@@ -35,7 +37,7 @@
         Self { timer, idle: Mutex::default() }
     }
 
-    /// A kept connection to an endpoint, the most recently used first.
+    /// Takes an idle connection to an endpoint, the most recently used first; `None` if none is usable.
     pub(crate) fn take(&self, id: &EndpointId) -> Option<PooledConnection> {
         let now = self.timer.now();
         let mut idle = lock(&self.idle);
@@ -48,45 +50,47 @@
         None
     }
 
-    /// A new connection.
+    /// Opens a new connection, which is not in the pool.
     ///
     /// # Errors
     ///
-    /// If none could be made within `limit`.
+    /// If the connection can't be established within `limit`, or the HTTP/1.1 handshake fails.
     pub(crate) async fn connect(&self, address: SocketAddr, limit: Duration) -> std::io::Result<PooledConnection> {
         let stream = dial(&self.timer, address, limit).await?;
         PooledConnection::start(stream).await.map_err(std::io::Error::other)
     }
 
-    /// Keeps a connection whose answer was read to its end, as long as the answer's headers say.
+    /// Returns a connection to the pool for `keep`, or closes it if the pool of the endpoint is full.
+    ///
+    /// The last response on the connection must have been read to its end.
     pub(crate) fn put(&self, id: &EndpointId, mut connection: PooledConnection, keep: Duration) {
         let now = self.timer.now();
         connection.usable_until = now + keep;
         connection.idle_since = now;
         let mut idle = lock(&self.idle);
         let connections = idle.entry(EndpointId::clone(id)).or_default();
-        if connections.len() < MOST_IDLE {
+        if connections.len() < MAX_IDLE_PER_ENDPOINT {
             connections.push(connection);
         }
     }
 
-    /// The endpoints to which a connection is kept that has been idle for at least `rest`.
-    pub(crate) fn rested(&self, rest: Duration) -> Vec<EndpointId> {
+    /// The endpoints to which a usable connection has been idle for at least `min_idle`.
+    pub(crate) fn idle_for(&self, min_idle: Duration) -> Vec<EndpointId> {
         let now = self.timer.now();
-        let is_rested = |connection: &PooledConnection| {
-            connection.is_ready() && now < connection.usable_until && now.since(connection.idle_since) >= rest
+        let is_idle_enough = |connection: &PooledConnection| {
+            connection.is_ready() && now < connection.usable_until && now.since(connection.idle_since) >= min_idle
         };
         let idle = lock(&self.idle);
-        let rested = idle.iter().filter(|(_, connections)| connections.iter().any(is_rested));
-        rested.map(|(id, _)| EndpointId::clone(id)).collect()
+        let matching = idle.iter().filter(|(_, connections)| connections.iter().any(is_idle_enough));
+        matching.map(|(id, _)| EndpointId::clone(id)).collect()
     }
 
-    /// Closes the idle connections to an endpoint that is gone or silent.
+    /// Closes all idle connections to an endpoint.
     pub(crate) fn close_idle(&self, id: &str) {
         lock(&self.idle).remove(id);
     }
 
-    /// Closes what its peer will close soon.
+    /// Closes the idle connections that have expired or that their peer has closed.
     pub(crate) fn close_expired(&self) {
         let now = self.timer.now();
         let mut idle = lock(&self.idle);
@@ -97,10 +101,10 @@
     }
 }
 
-/// How long an idle connection may be used again, after an answer with these headers.
-pub(crate) fn keep_time(headers: &HeaderMap) -> Duration {
+/// How long a connection may stay idle after a response with these headers.
+pub(crate) fn keep_alive_time(headers: &HeaderMap) -> Duration {
     let stated = headers.get(KEEP_ALIVE).and_then(|value| value.to_str().ok()).and_then(stated_timeout);
-    stated.map_or(DEFAULT_KEEP, |stated| stated.saturating_sub(KEEP_MARGIN))
+    stated.map_or(DEFAULT_KEEP_ALIVE, |stated| stated.saturating_sub(KEEP_ALIVE_MARGIN))
 }
 
 fn stated_timeout(text: &str) -> Option<Duration> {
--- a/crates/hollyhook_gateway/src/pool/pooled_connection.rs
+++ b/crates/hollyhook_gateway/src/pool/pooled_connection.rs
@@ -12,55 +12,55 @@
 
 use crate::net::{WireStream, wire_stream};
 
-/// Why a request got no answer head.
+/// Why a request got no response head.
 #[derive(Debug)]
-pub(crate) enum SendFault {
-    /// No byte of it was written; here it is again.
+pub(crate) enum SendError {
+    /// No byte of the request was written; it is returned so that it can be sent on another connection.
     Unsent(Box<Request<Full<Bytes>>>),
-    /// What came is not an answer in the protocol.
+    /// The peer's bytes are not a valid HTTP/1.1 response.
     Garbled,
-    /// The connection broke.
+    /// The connection failed after part of the request may have been sent.
     Broken,
 }
 
-/// One connection that is used for one request at a time.
+/// HTTP/1.1 connection that carries one request at a time.
 ///
-/// Dropping it closes the connection, which tells an endpoint to stop working on what was sent.
+/// Dropping it closes the connection, which makes an endpoint stop working on the request sent on it.
 #[derive(Debug)]
 pub(crate) struct PooledConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
-    /// Until when the peer keeps it open while idle; set when it is put back.
+    /// When the connection expires; set when it is returned to the pool.
     pub(super) usable_until: TimePoint,
-    /// When it was put back.
+    /// When the connection was returned to the pool.
     pub(super) idle_since: TimePoint,
 }
 
 impl PooledConnection {
-    /// Starts to speak HTTP/1.1 on a new connection.
+    /// Performs the HTTP/1.1 handshake on a new connection and spawns the task that drives it.
     pub(crate) async fn start(stream: Async<TcpStream>) -> hyper::Result<Self> {
         let (sender, connection) = http1::handshake::<WireStream, Full<Bytes>>(wire_stream(stream)).await?;
         let (driver, handle) = abortable(connection);
         task::spawn(async move {
-            // What goes wrong on the connection is told to whoever waits for an answer on it.
+            // A connection error is reported to the request that is waiting for a response.
             let _outcome = driver.await;
         });
         Ok(Self { sender, driver: handle, usable_until: TimePoint::ZERO, idle_since: TimePoint::ZERO })
     }
 
-    /// Whether it can take a request now.
+    /// Whether a request can be sent now.
     pub(crate) fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Sends a request and waits for the head of its answer.
-    pub(crate) async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, SendFault> {
+    /// Sends a request and waits for the head of the response.
+    pub(crate) async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, SendError> {
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
             Err(mut fault) => Err(match fault.take_message() {
-                Some(request) => SendFault::Unsent(Box::new(request)),
-                None if fault.error().is_parse() => SendFault::Garbled,
-                None => SendFault::Broken,
+                Some(request) => SendError::Unsent(Box::new(request)),
+                None if fault.error().is_parse() => SendError::Garbled,
+                None => SendError::Broken,
             }),
         }
     }
--- a/crates/hollyhook_gateway/src/sync/mod.rs
+++ b/crates/hollyhook_gateway/src/sync/mod.rs
@@ -1,4 +1,4 @@
-//! Shared state of a process.
+//! Synchronization between tasks.
 
 mod lock;
 mod wake_list;
--- a/crates/hollyhook_gateway/src/sync/wake_list.rs
+++ b/crates/hollyhook_gateway/src/sync/wake_list.rs
@@ -4,14 +4,14 @@
 
 use super::lock;
 
-/// Those who wait for something to happen once.
+/// Tasks that wait for the next occurrence of an event.
 #[derive(Debug, Default)]
 pub(crate) struct WakeList {
     waiters: Mutex<Vec<oneshot::Sender<()>>>,
 }
 
 impl WakeList {
-    /// Completes when [`wake`](Self::wake) is called next.
+    /// Returns a receiver that completes at the next call of [`wake`](Self::wake).
     pub(crate) fn wait(&self) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         let mut waiters = lock(&self.waiters);
@@ -20,10 +20,10 @@
         receiver
     }
 
-    /// Wakes all who wait.
+    /// Wakes all waiting tasks.
     pub(crate) fn wake(&self) {
         for waiter in lock(&self.waiters).drain(..) {
-            // Who waited may have left.
+            // The waiting task may have dropped its receiver.
             let _gone = waiter.send(());
         }
     }
