--- a/crates/hollyhook_gateway/src/forward/engine_choice.rs
+++ b/crates/hollyhook_gateway/src/forward/engine_choice.rs
@@ -16,14 +16,14 @@
 use crate::front::CallerRequest;
 use crate::gateway::{EndpointLack, GatewayContext};
 
-/// Engines that are probed before a generation is placed. Probing two is nearly as good as probing all: the second
+/// Number of engines probed before a generation is placed. Probing two is nearly as good as probing all: the second
 /// choice removes most of the waiting behind other prompts, a third removes little more.
 const PROBED_ENGINES: usize = 2;
 
-/// Engines, in the own zone and in each other zone, that are probed first for the prompt of a generation whose caller
-/// comes back. Most such generations last ran at one of these.
+/// Number of engines, in the own zone and in each other zone, that are probed first for the prompt of a generation
+/// whose caller comes back. Most such generations last ran at one of these.
 const FIRST_HOLDER_LIMITS: HomeCounts = HomeCounts { own: 3, far: 1 };
-/// Engines, in the own zone and in each other zone, that are probed if none of the first holds the prompt.
+/// Number of engines, in the own zone and in each other zone, that are probed if none of the first holds the prompt.
 const ALL_HOLDER_LIMITS: HomeCounts = HomeCounts { own: 6, far: 3 };
 
 /// How long a connection to an engine of another zone must have been idle for that engine to be preferred as the holder
@@ -64,7 +64,7 @@
 }
 
 impl EngineChooser<'_> {
-    /// Chooses the engine; `resume_from` is the copy of the lost attempt's KV cache, if there is one.
+    /// Chooses an engine; `resume_from` is the copy of the lost attempt's KV cache, if there is one.
     ///
     /// # Errors
     ///
--- a/crates/hollyhook_gateway/src/forward/event_stream.rs
+++ b/crates/hollyhook_gateway/src/forward/event_stream.rs
@@ -27,7 +27,7 @@
 use crate::front::{CallerRequest, ResponseBody};
 use crate::gateway::GatewayContext;
 
-/// Attempts that engines may reject, or that fail to connect, before the caller is told to retry later.
+/// Maximum number of attempts that engines reject, or that fail to connect, before the caller is told to retry later.
 const MAX_REJECTED: u32 = 4;
 /// Retry-After delay if every engine rejected a generation.
 const BUSY_RETRY_AFTER: Duration = Duration::from_millis(500);
--- a/crates/hollyhook_gateway/src/forward/plain_call.rs
+++ b/crates/hollyhook_gateway/src/forward/plain_call.rs
@@ -16,7 +16,7 @@
 use crate::front::{CallerRequest, ResponseBody};
 use crate::gateway::{EndpointLack, GatewayContext};
 
-/// Attempts that endpoints may reject, or that fail to connect, before the caller is told to retry later.
+/// Maximum number of attempts that endpoints reject, or that fail to connect, before the caller is told to retry later.
 const MAX_REJECTED: u32 = 3;
 /// Retry-After delay if every endpoint rejected a call.
 const BUSY_RETRY_AFTER: Duration = Duration::from_millis(120);
--- a/crates/hollyhook_gateway/src/forward/request_log.rs
+++ b/crates/hollyhook_gateway/src/forward/request_log.rs
@@ -71,8 +71,8 @@
     context.board.record(MetricMeasure::PlainCall, &account_label(caller), &caller.route.name, &[age]);
     let age_ms = age.as_millis() as u64;
     tracing::info!(request = %caller.head.attempt_id, route = %caller.route.name, service = %caller.service,
-        site_version = caller.site_version, status, endpoint = last.endpoint.as_deref(), known_ms = last.known_ms, attempts,
-        age_ms, "request.answered");
+        site_version = caller.site_version, status, endpoint = last.endpoint.as_deref(), known_ms = last.known_ms,
+        attempts, age_ms, "request.answered");
 }
 
 /// Records that a stream was delivered to its end.
@@ -91,7 +91,8 @@
     let first_ms = timing.first().map(|first| first.since(caller.arrived).as_millis() as u64);
     let longest_gap_ms = timing.longest_gap().as_millis() as u64;
     tracing::info!(request = %caller.head.attempt_id, route = %caller.route.name, service = %caller.service,
-        site_version = caller.site_version, status = 200, attempts, age_ms, first_ms, longest_gap_ms, cursor = caller.head.cursor, "request.streamed");
+        site_version = caller.site_version, status = 200, attempts, age_ms, first_ms, longest_gap_ms,
+        cursor = caller.head.cursor, "request.streamed");
 }
 
 /// Records that a request ended with an error: refused, cut off, or with an unknown outcome.
@@ -99,7 +100,8 @@
     context.board.count(ended_counter(error));
     let age_ms = context.timer.now().since(caller.arrived).as_millis() as u64;
     tracing::info!(request = %caller.head.attempt_id, route = %caller.route.name, service = %caller.service,
-        site_version = caller.site_version, kind = %error.kind(), attempts, age_ms, reason = %error.message(), "request.ended");
+        site_version = caller.site_version, kind = %error.kind(), attempts, age_ms,
+        reason = %error.message(), "request.ended");
 }
 
 /// Account label of a request's metrics; `public` for a request without an account.
--- a/crates/hollyhook_gateway/src/net/persistent_client.rs
+++ b/crates/hollyhook_gateway/src/net/persistent_client.rs
@@ -89,7 +89,7 @@
 
 impl fmt::Debug for PersistentClient {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("PersistentClient").finish_non_exhaustive()
+        f.debug_struct("KeptLine").finish_non_exhaustive()
     }
 }
 
