--- a/crates/hollyhook_command/src/load/placement/host_model.rs
+++ b/crates/hollyhook_command/src/load/placement/host_model.rs
@@ -52,16 +52,16 @@
             if reports.is_up(engine) {
                 return Some(engine);
             }
-            self.table.failed(now, &engine.to_string());
+            self.table.record_failure(now, &engine.to_string());
             None
         });
         let engine = chosen.unwrap_or(0);
-        self.table.opened(now, &engine.to_string());
+        self.table.record_open(now, &engine.to_string());
         engine
     }
 
     pub(super) fn close(&mut self, engine: usize) {
-        self.table.closed(&engine.to_string());
+        self.table.record_close(&engine.to_string());
     }
 
     fn choose(
@@ -91,7 +91,7 @@
     }
 
     fn ask_two(&self, now: TimePoint, number: u64, tokens: u64, reports: &ReportLog) -> usize {
-        let query = RouteQuery::new("model").places((MEMORY_TOKENS / tokens.max(1)) as u32);
+        let query = RouteQuery::new("model").slots((MEMORY_TOKENS / tokens.max(1)) as u32);
         let mut list = self.table.shortlist(now, &query, number, 2);
         if let Some(first) = list.first() {
             let zone = ZoneName::clone(&first.zone);
--- a/crates/hollyhook_core/src/feed/feed_roster.rs
+++ b/crates/hollyhook_core/src/feed/feed_roster.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::route::weight;
+use crate::route::rendezvous_weight;
 use crate::{Name, TimePoint, ZoneName};
 
 /// Hosts of a zone from which on they share what they read. Below, as at the sites of 7 or 8 hosts, a call to the store
@@ -53,7 +53,7 @@
     ///
     /// Weighted rendezvous hashing: of all hosts, each is asked by a part that is as large as its link.
     fn distance(&self, asking: &Name) -> f64 {
-        let fraction = (weight(asking.as_bytes(), &self.host) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
+        let fraction = (rendezvous_weight(asking.as_bytes(), &self.host) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
         -fraction.ln() / f64::from(self.link_mbps.max(1))
     }
 }
@@ -124,9 +124,9 @@
     /// Takes in all hosts that are registered.
     pub fn list(&mut self, members: Vec<RosterMember>) {
         let (mut own, mut others): (Vec<_>, Vec<_>) = members.into_iter().partition(|member| member.zone == self.zone);
-        let rank = |member: &RosterMember| (member.link_mbps, weight(self.zone.as_bytes(), &member.host));
+        let rank = |member: &RosterMember| (member.link_mbps, rendezvous_weight(self.zone.as_bytes(), &member.host));
         own.sort_by_cached_key(|member| Reverse(rank(member)));
-        others.sort_by_cached_key(|member| Reverse(weight(self.host.as_bytes(), &member.host)));
+        others.sort_by_cached_key(|member| Reverse(rendezvous_weight(self.host.as_bytes(), &member.host)));
         self.members = own;
         self.others = others;
     }
--- a/crates/hollyhook_core/src/feed/store_contact.rs
+++ b/crates/hollyhook_core/src/feed/store_contact.rs
@@ -84,7 +84,7 @@
     pub fn answered(&mut self, now: TimePoint, contact: Duration) -> Option<TimePoint> {
         let lost_at = self.lost_at;
         self.heard(now);
-        let latest = lost_at? + contact - (EndpointMembership::RETURN_GRACE + SEND_MARGIN);
+        let latest = lost_at? + contact - (EndpointMembership::RECOVERY_GRACE + SEND_MARGIN);
         Some(now.min(latest))
     }
 
--- a/crates/hollyhook_core/src/forward/attempt_ledger.rs
+++ b/crates/hollyhook_core/src/forward/attempt_ledger.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use super::AttemptFailure;
-use crate::{Error, ErrorKind, RequestKind, RoutePlan};
+use crate::{Error, ErrorKind, RequestKind, RouteConfig};
 
 /// Why no further attempt is made for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -74,8 +74,8 @@
     }
 
     /// A ledger for a request on a route.
-    pub fn for_route(route: &RoutePlan, most_turned_away: u32) -> Self {
-        Self::new(route.kind, route.most_attempts, most_turned_away)
+    pub fn for_route(route: &RouteConfig, most_turned_away: u32) -> Self {
+        Self::new(route.kind, route.max_attempts, most_turned_away)
     }
 
     /// Counts an attempt that failed.
--- a/crates/hollyhook_core/src/lib.rs
+++ b/crates/hollyhook_core/src/lib.rs
@@ -48,12 +48,13 @@
 };
 pub use route::{
     EndpointMembership, EndpointRecord, EndpointState, EndpointSubset, EndpointTable, EngineCandidate, EngineReport,
-    EngineRun, HeldPart, HeldPlacement, HomeCounts, LoadReport, REPORT_AGE, RouteQuery, choose_copy, choose_engine,
-    excess_wait, expected_first, has_holder, is_settled, place_held,
+    EngineRun, HeldPromptPart, HolderLimits, LoadReport, MAX_REPORT_AGE, PromptPlacement, RouteQuery,
+    choose_backup_engine, choose_engine, excess_wait, has_holder, is_certain_choice, place_held_prompt,
+    time_to_first_event,
 };
 pub use site::{
-    AccountPlan, CallerLimits, EngineMemory, PlanAdoption, RequestKind, RoutePlan, ServicePlan, ServiceShare,
-    SiteIndex, SiteLedger, SitePlan,
+    AccountConfig, CallerLimits, ConfigAdoption, EngineMemory, RequestKind, RouteConfig, ServiceConfig, ServiceShare,
+    SiteConfig, SiteIndex, SiteState,
 };
 pub use stop::{StopPhase, StopPlan};
 pub use stream::{EventCutter, EventPiece, EventRelay, PieceVerdict, SilenceJudge, SilenceVerdict};
--- a/crates/hollyhook_core/src/rollout/version_rule.rs
+++ b/crates/hollyhook_core/src/rollout/version_rule.rs
@@ -1,7 +1,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-use crate::route::weight;
+use crate::route::rendezvous_weight;
 use crate::{EndpointId, Name};
 
 /// Which versions of a service a request may go to.
@@ -55,7 +55,7 @@
         share: f64,
     ) -> BTreeSet<EndpointId> {
         let mut live: Vec<EndpointId> = live.into_iter().collect();
-        live.sort_by_cached_key(|id| Reverse(weight(target.as_bytes(), id)));
+        live.sort_by_cached_key(|id| Reverse(rendezvous_weight(target.as_bytes(), id)));
         let part = (live.len() as f64 * share).ceil() as usize;
         live.truncate(part.max(Self::LEAST_ENDPOINTS));
         live.into_iter().collect()
--- a/crates/hollyhook_core/src/route/copy_placement.rs
+++ b/crates/hollyhook_core/src/route/copy_placement.rs
@@ -10,7 +10,7 @@
 /// Answers a load at which memory runs short: a copy takes as much of it as its run, and serves only if an engine is lost,
 /// while a prompt that waits for memory is late for certain. So copies yield: none goes to an engine where requests wait,
 /// nor where little would be left. A run that is lost without a copy has its prompt read again.
-pub fn choose_copy<'a>(
+pub fn choose_backup_engine<'a>(
     candidates: impl IntoIterator<Item = &'a EngineCandidate>,
     needed_tokens: u64,
 ) -> Option<&'a EngineCandidate> {
--- a/crates/hollyhook_core/src/route/endpoint_choice.rs
+++ b/crates/hollyhook_core/src/route/endpoint_choice.rs
@@ -5,8 +5,8 @@
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
-use super::rendezvous::weight;
-use super::{EndpointRecord, EndpointTable, HomeCounts, RouteQuery};
+use super::rendezvous::rendezvous_weight;
+use super::{EndpointRecord, EndpointTable, HolderLimits, RouteQuery};
 use crate::{EndpointId, TimePoint, ZoneName};
 
 /// Endpoints of each zone among which a choice is made. Even if nine in ten are full, a few have room; and what it costs does
@@ -71,7 +71,12 @@
             let steps = ((cost - least) / HOME_SLACK) as u64;
             let is_preferred = query.preferred.contains(&record.id);
             let is_due = query.may_be_trial() && record.errors.is_trial_due(now);
-            (Reverse(is_due), steps, Reverse(is_preferred), Reverse(weight(&number.to_be_bytes(), &record.id)))
+            (
+                Reverse(is_due),
+                steps,
+                Reverse(is_preferred),
+                Reverse(rendezvous_weight(&number.to_be_bytes(), &record.id)),
+            )
         };
         costs.sort_by_cached_key(|(cost, record)| rank(*cost, record));
         costs.into_iter().take(most).map(|(_, record)| record.as_of(now)).collect()
@@ -80,26 +85,28 @@
     /// The endpoints that a prompt may have gone to, in the order that all hosts share for `number`, the own zone first.
     ///
     /// Load is not looked at: where a prompt went earlier was decided by other loads, and by other hosts.
-    pub fn homes(
+    pub fn likely_holders(
         &self,
         now: TimePoint,
         query: &RouteQuery<'_>,
         number: u64,
-        counts: HomeCounts,
+        counts: HolderLimits,
     ) -> Vec<EndpointRecord> {
         let mut fit = self.window(now, query, number, |record| !record.is_ejected(now));
-        fit.sort_by_cached_key(|record| (record.zone != self.zone, Reverse(weight(&number.to_be_bytes(), &record.id))));
+        fit.sort_by_cached_key(|record| {
+            (record.zone != self.zone, Reverse(rendezvous_weight(&number.to_be_bytes(), &record.id)))
+        });
         let mut taken: BTreeMap<&ZoneName, usize> = BTreeMap::new();
         fit.retain(|record| {
             let count = taken.entry(&record.zone).or_default();
             *count += 1;
-            *count <= if record.zone == self.zone { counts.own } else { counts.far }
+            *count <= if record.zone == self.zone { counts.own_zone } else { counts.other_zone }
         });
         fit.into_iter().map(|record| record.as_of(now)).collect()
     }
 
     /// The endpoints that a request with this affinity may be held by, best first.
-    pub fn candidates(&self, query: &RouteQuery<'_>, number: u128) -> Vec<EndpointId> {
+    pub fn affinity_candidates(&self, query: &RouteQuery<'_>, number: u128) -> Vec<EndpointId> {
         let fit = self.of_service(query.service).filter(|record| query.is_met_by(record)).collect();
         ranked(fit, number).into_iter().map(|record| EndpointId::clone(&record.id)).collect()
     }
@@ -108,7 +115,7 @@
     ///
     /// Zero if only the slots of this host are used up: another host may have one. Endpoints that the request has left count
     /// too, since its caller may come back to them.
-    pub fn held_back_for(&self, now: TimePoint, query: &RouteQuery<'_>) -> Option<Duration> {
+    pub fn shortest_pause(&self, now: TimePoint, query: &RouteQuery<'_>) -> Option<Duration> {
         let query = query.clone().avoid(&[]);
         let fit = || self.of_service(query.service).filter(|record| query.is_met_by(record));
         if fit().any(|record| self.terms.is_open(now, &record.id)) {
@@ -160,7 +167,7 @@
         let is_drawn_only = query.preferred.is_empty() || rng.random_ratio(1, UNBOUND);
         let is_preferred = |record: &EndpointRecord| !is_drawn_only && query.preferred.contains(&record.id);
         let cost = |record: &EndpointRecord| {
-            let places = query.places.unwrap_or(record.load.capacity).max(1);
+            let places = query.slots.unwrap_or(record.load.capacity).max(1);
             // Its last report counts the request that it came with.
             let slack = if is_preferred(record) { PREFERRED_PLACES / f64::from(places) } else { 0.0 };
             self.cost(now, record, query, &suspect) - slack
@@ -178,7 +185,7 @@
     }
 
     fn cost(&self, now: TimePoint, record: &EndpointRecord, query: &RouteQuery<'_>, suspect: &[&ZoneName]) -> f64 {
-        let pressure = record.pressure(query.places);
+        let pressure = record.pressure(query.slots);
         let distance = if record.zone == self.zone { 0.0 } else { self.zone_preference };
         let full = if pressure >= 1.0 { FULL_COST } else { 0.0 };
         let suspicion = if suspect.contains(&&record.zone) { SUSPECT_ZONE_COST } else { 0.0 };
@@ -195,7 +202,7 @@
     if !query.may_be_trial() || pool.len() < 2 {
         return None;
     }
-    let is_due = |record: &&EndpointRecord| record.errors.is_trial_due(now) && record.pressure(query.places) < 1.0;
+    let is_due = |record: &&EndpointRecord| record.errors.is_trial_due(now) && record.pressure(query.slots) < 1.0;
     let due = pool.iter().copied().filter(is_due);
     due.min_by_key(|record| record.errors.next_trial())
 }
@@ -207,7 +214,7 @@
 
 /// Rendezvous order (highest random weight), the same on every host that knows the same endpoints.
 fn ranked(mut pool: Vec<&EndpointRecord>, number: u128) -> Vec<&EndpointRecord> {
-    pool.sort_by_cached_key(|record| Reverse(weight(&number.to_be_bytes(), &record.id)));
+    pool.sort_by_cached_key(|record| Reverse(rendezvous_weight(&number.to_be_bytes(), &record.id)));
     pool.truncate(EndpointTable::AFFINITY_CANDIDATES);
     pool
 }
--- a/crates/hollyhook_core/src/route/endpoint_membership.rs
+++ b/crates/hollyhook_core/src/route/endpoint_membership.rs
@@ -14,10 +14,10 @@
 /// use std::time::Duration;
 ///
 /// let mut membership = EndpointMembership::default();
-/// membership.platform_back(TimePoint::ZERO);
-/// assert!(!membership.is_gone(TimePoint::from_millis(10), &"engine-1".into()));
-/// assert_eq!(membership.lapsed(TimePoint::from_millis(5_000)).len(), 1);
-/// assert!(membership.is_gone(TimePoint::from_millis(5_000), &"engine-2".into()));
+/// membership.platform_recovered(TimePoint::ZERO);
+/// assert!(!membership.mark_missing(TimePoint::from_millis(10), &"engine-1".into()));
+/// assert_eq!(membership.take_expired(TimePoint::from_millis(5_000)).len(), 1);
+/// assert!(membership.mark_missing(TimePoint::from_millis(5_000), &"engine-2".into()));
 /// ```
 #[derive(Debug, Default)]
 pub struct EndpointMembership {
@@ -34,7 +34,7 @@
     /// How long after the platform's return an entry that lapsed meanwhile may take to come back.
     ///
     /// The platform states about two seconds; the quarter more is for the read that shows it.
-    pub const RETURN_GRACE: Duration = Duration::from_millis(2_250);
+    pub const RECOVERY_GRACE: Duration = Duration::from_millis(2_250);
 
     /// How long an entry stays in the platform's list that nobody renews: three heartbeats and what the list lags behind.
     const RELIC_TIME: Duration = Duration::from_secs(5);
@@ -42,14 +42,14 @@
     const GONE_KEPT: Duration = Duration::from_mins(1);
 
     /// Notes that the platform came back from an older copy of itself: entries in it may be of endpoints that left since.
-    pub fn platform_older(&mut self, now: TimePoint) {
+    pub fn platform_rolled_back(&mut self, now: TimePoint) {
         self.relics_until = now + Self::RELIC_TIME;
     }
 
     /// Whether what the list says of an endpoint may be of before, which the list shows only by chance.
     ///
     /// Who lives renews its entry, and it stays; who left does not, and it goes.
-    pub fn is_doubtful(&self, now: TimePoint) -> bool {
+    pub fn is_list_suspect(&self, now: TimePoint) -> bool {
         now < self.relics_until
     }
 
@@ -63,7 +63,7 @@
         told: EndpointState,
     ) -> bool {
         let is_back = known == Some(EndpointState::Leaving) && told == EndpointState::Live;
-        self.is_doubtful(now) && (is_back || self.gone.contains_key(id))
+        self.is_list_suspect(now) && (is_back || self.gone.contains_key(id))
     }
 
     fn note_gone(&mut self, now: TimePoint, id: &EndpointId) {
@@ -72,28 +72,28 @@
     }
 
     /// Notes that the platform answers again after it did not; what is missing has its grace time from `at` on.
-    pub fn platform_back(&mut self, at: TimePoint) {
+    pub fn platform_recovered(&mut self, at: TimePoint) {
         self.back_at = Some(at);
     }
 
-    /// Whether an endpoint whose entry is missing is to be forgotten now; if not, [`lapsed`](Self::lapsed) tells when.
-    pub fn is_gone(&mut self, now: TimePoint, id: &EndpointId) -> bool {
-        let Some(back_at) = self.back_at.filter(|at| now.since(*at) < Self::RETURN_GRACE) else {
+    /// Whether an endpoint whose entry is missing is to be forgotten now; if not, [`take_expired`](Self::take_expired) tells when.
+    pub fn mark_missing(&mut self, now: TimePoint, id: &EndpointId) -> bool {
+        let Some(back_at) = self.back_at.filter(|at| now.since(*at) < Self::RECOVERY_GRACE) else {
             self.note_gone(now, id);
             return true;
         };
-        self.missing.entry(EndpointId::clone(id)).or_insert(back_at + Self::RETURN_GRACE);
+        self.missing.entry(EndpointId::clone(id)).or_insert(back_at + Self::RECOVERY_GRACE);
         false
     }
 
     /// Notes that an entry is there.
-    pub fn present(&mut self, id: &EndpointId) {
+    pub fn mark_present(&mut self, id: &EndpointId) {
         self.missing.remove(id);
         self.gone.remove(id);
     }
 
     /// The endpoints whose grace time is over; each is returned once.
-    pub fn lapsed(&mut self, now: TimePoint) -> Vec<EndpointId> {
+    pub fn take_expired(&mut self, now: TimePoint) -> Vec<EndpointId> {
         let due = self.missing.iter().filter(|(_, at)| **at <= now).map(|(id, _)| EndpointId::clone(id));
         let due: Vec<EndpointId> = due.collect();
         for id in &due {
--- a/crates/hollyhook_core/src/route/endpoint_record.rs
+++ b/crates/hollyhook_core/src/route/endpoint_record.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::REPORT_AGE;
+use super::MAX_REPORT_AGE;
 use super::failure_record::FailureRecord;
 use crate::{EndpointId, EndpointRhythm, ModelBinding, Name, StoreRevision, TimePoint, ZoneName};
 
@@ -58,7 +58,7 @@
     pub open: u32,
     /// Requests that this host opened there since the last load report.
     pub sent_since_report: u32,
-    /// Requests that this host sent there within the last [`REPORT_AGE`](super::REPORT_AGE), as of when it was chosen.
+    /// Requests that this host sent there within the last [`MAX_REPORT_AGE`](super::MAX_REPORT_AGE), as of when it was chosen.
     pub sent_lately: u32,
     /// Its usual gaps, over all streams of this host.
     pub rhythm: EndpointRhythm,
@@ -121,7 +121,7 @@
 
     /// The same endpoint as one start of what registers as `entry`.
     #[must_use]
-    pub fn start_of(mut self, entry: Name, started: Option<u64>) -> Self {
+    pub fn incarnation_of(mut self, entry: Name, started: Option<u64>) -> Self {
         self.entry = entry;
         self.started = started;
         self
@@ -170,7 +170,7 @@
     }
 
     fn forget_sends(&mut self, now: TimePoint) {
-        while self.sends.front().is_some_and(|sent| now.since(*sent) > REPORT_AGE) {
+        while self.sends.front().is_some_and(|sent| now.since(*sent) > MAX_REPORT_AGE) {
             self.sends.pop_front();
         }
     }
--- a/crates/hollyhook_core/src/route/endpoint_subset.rs
+++ b/crates/hollyhook_core/src/route/endpoint_subset.rs
@@ -1,7 +1,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-use super::rendezvous::weight;
+use super::rendezvous::rendezvous_weight;
 use crate::{EndpointId, ZoneName};
 
 /// The endpoints of one service that a host keeps to, so that its cost does not grow with the fleet.
@@ -49,7 +49,7 @@
             zones.entry(zone).or_default().push(endpoint);
         }
         for endpoints in zones.values_mut() {
-            endpoints.sort_by_cached_key(|endpoint| Reverse(weight(self.host.as_bytes(), endpoint)));
+            endpoints.sort_by_cached_key(|endpoint| Reverse(rendezvous_weight(self.host.as_bytes(), endpoint)));
         }
         self.deal(zones)
     }
--- a/crates/hollyhook_core/src/route/endpoint_table.rs
+++ b/crates/hollyhook_core/src/route/endpoint_table.rs
@@ -2,7 +2,7 @@
 
 use super::name_set::NameSet;
 use super::place_index::PlaceIndex;
-use super::rendezvous::weight;
+use super::rendezvous::rendezvous_weight;
 use super::ring_index::RingIndex;
 use super::zone_trouble::ZoneTrouble;
 use super::{EndpointRecord, EndpointState, LoadReport};
@@ -82,7 +82,7 @@
     }
 
     /// Takes in that an endpoint says itself that it leaves; tells whether it got work until then.
-    pub fn leave(&mut self, now: TimePoint, id: &EndpointId) -> bool {
+    pub fn mark_leaving(&mut self, now: TimePoint, id: &EndpointId) -> bool {
         self.terms.leave(now, id);
         let Some(record) = self.records.get_mut(id).filter(|record| record.state == EndpointState::Live) else {
             return false;
@@ -157,9 +157,9 @@
 
     /// The entry at which hosts note what all of them have to know: of the live endpoints, the same at all hosts that know the
     /// same ones.
-    pub fn noting_entry(&self) -> Option<Name> {
+    pub fn crash_record_entry(&self) -> Option<Name> {
         let live = self.iter().filter(|record| record.state == EndpointState::Live);
-        let entry = live.map(|record| &record.entry).max_by_key(|entry| weight(NOTES, entry));
+        let entry = live.map(|record| &record.entry).max_by_key(|entry| rendezvous_weight(NOTES, entry));
         entry.cloned()
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// Takes a load report in.
-    pub fn report(&mut self, id: &str, load: LoadReport) {
+    pub fn update_load(&mut self, id: &str, load: LoadReport) {
         if let Some(record) = self.records.get_mut(id) {
             record.load = load;
             record.sent_since_report = 0;
@@ -190,13 +190,13 @@
     pub fn try_open(&mut self, now: TimePoint, id: &str) -> bool {
         let is_open = self.terms.try_send(now, id);
         if is_open {
-            self.opened(now, id);
+            self.record_open(now, id);
         }
         is_open
     }
 
     /// Counts a request as open at an endpoint.
-    pub fn opened(&mut self, now: TimePoint, id: &str) {
+    pub fn record_open(&mut self, now: TimePoint, id: &str) {
         if let Some(record) = self.records.get_mut(id) {
             record.send(now);
             record.open += 1;
@@ -205,7 +205,7 @@
     }
 
     /// Counts a request as no longer open at an endpoint.
-    pub fn closed(&mut self, id: &str) {
+    pub fn record_close(&mut self, id: &str) {
         if let Some(record) = self.records.get_mut(id) {
             record.open = record.open.saturating_sub(1);
             // Most of what ends was sent since the report; else a burst of quick requests would look like a load.
@@ -214,7 +214,7 @@
     }
 
     /// Counts a failure of an endpoint, which leaves it out for a while.
-    pub fn failed(&mut self, now: TimePoint, id: &str) {
+    pub fn record_failure(&mut self, now: TimePoint, id: &str) {
         let Some(record) = self.records.get_mut(id) else {
             return;
         };
@@ -223,14 +223,14 @@
     }
 
     /// Takes in whether an endpoint's answer was a failure of its own.
-    pub fn answered(&mut self, now: TimePoint, id: &str, is_failure: bool) {
+    pub fn record_answer(&mut self, now: TimePoint, id: &str, is_failure: bool) {
         if let Some(record) = self.records.get_mut(id) {
             record.errors.answer(now, is_failure);
         }
     }
 
     /// Counts a success of an endpoint.
-    pub fn succeeded(&mut self, id: &str) {
+    pub fn record_success(&mut self, id: &str) {
         if let Some(record) = self.records.get_mut(id) {
             record.succeed();
         }
--- a/crates/hollyhook_core/src/route/engine_report.rs
+++ b/crates/hollyhook_core/src/route/engine_report.rs
@@ -29,7 +29,7 @@
     }
 
     /// Whether a request that does not run may be at the engine all the same.
-    pub fn has_unread(&self) -> bool {
+    pub fn has_pending_prompts(&self) -> bool {
         self.waiting + self.reading > 0
     }
 }
@@ -44,7 +44,7 @@
 }
 
 /// How old a report may be: what this host sent since then is not in it.
-pub const REPORT_AGE: Duration = Duration::from_millis(300);
+pub const MAX_REPORT_AGE: Duration = Duration::from_millis(300);
 
 /// Tokens of a prompt that an engine reads in a millisecond between the steps of others, by the deployments' sheets (8)
 /// less what a step takes besides.
@@ -53,7 +53,7 @@
 const LEAST_RUN: Duration = Duration::from_millis(4_200);
 
 /// When a generation's first event can be expected at an engine, if the prompts before it are like its own.
-pub fn expected_first(report: &EngineReport, prompt_tokens: u64) -> Duration {
+pub fn time_to_first_event(report: &EngineReport, prompt_tokens: u64) -> Duration {
     let prompts = f64::from(report.waiting) + READING_COST * f64::from(report.reading) + 1.0;
     Duration::from_secs_f64(prompts * prompt_tokens as f64 / READ_TOKENS_PER_MS / 1e3)
 }
@@ -63,7 +63,7 @@
 /// Answers a load beyond what the engines can take: a request that would wait until its caller gives up only takes the
 /// place of one that could be served. A late answer is better than none, so the objective is not looked at.
 pub fn excess_wait(report: &EngineReport, prompt_tokens: u64, time_left: Duration) -> Option<Duration> {
-    let needed = expected_first(report, prompt_tokens) + LEAST_RUN;
+    let needed = time_to_first_event(report, prompt_tokens) + LEAST_RUN;
     needed.checked_sub(time_left).filter(|excess| !excess.is_zero())
 }
 
@@ -107,7 +107,7 @@
 /// Whether no engine after the first in the order could be chosen before it, whatever it reported.
 ///
 /// Answers a pool that is far from full, where most engines that come first are: others need not be asked then.
-pub fn is_settled(first: &EngineCandidate, needed_tokens: u64) -> bool {
+pub fn is_certain_choice(first: &EngineCandidate, needed_tokens: u64) -> bool {
     let cost = first.report.as_ref().map(|report| engine_cost(first, report, needed_tokens));
     cost.is_some_and(|cost| cost <= RANK_COST)
 }
--- a/crates/hollyhook_core/src/route/mod.rs
+++ b/crates/hollyhook_core/src/route/mod.rs
@@ -16,14 +16,15 @@
 mod route_query;
 mod zone_trouble;
 
-pub use copy_placement::choose_copy;
+pub use copy_placement::choose_backup_engine;
 pub use endpoint_membership::EndpointMembership;
 pub use endpoint_record::{EndpointRecord, EndpointState, LoadReport};
 pub use endpoint_subset::EndpointSubset;
 pub use endpoint_table::EndpointTable;
 pub use engine_report::{
-    EngineCandidate, EngineReport, EngineRun, REPORT_AGE, choose_engine, excess_wait, expected_first, is_settled,
+    EngineCandidate, EngineReport, EngineRun, MAX_REPORT_AGE, choose_engine, excess_wait, is_certain_choice,
+    time_to_first_event,
 };
-pub use prompt_holder::{HeldPart, HeldPlacement, has_holder, place_held};
-pub(crate) use rendezvous::weight;
-pub use route_query::{HomeCounts, RouteQuery};
+pub use prompt_holder::{HeldPromptPart, PromptPlacement, has_holder, place_held_prompt};
+pub(crate) use rendezvous::rendezvous_weight;
+pub use route_query::{HolderLimits, RouteQuery};
--- a/crates/hollyhook_core/src/route/prompt_holder.rs
+++ b/crates/hollyhook_core/src/route/prompt_holder.rs
@@ -3,7 +3,7 @@
 
 /// A part of a prompt that an engine still holds in memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HeldPart {
+pub struct HeldPromptPart {
     /// Names the part, as the callers of its prompt do.
     pub part: u64,
     /// Tokens of it that are held.
@@ -20,14 +20,14 @@
 
 /// Where a generation goes on whose prompt an engine still holds.
 #[derive(Debug, Clone, Copy)]
-pub struct HeldPlacement<'a> {
+pub struct PromptPlacement<'a> {
     /// The engine that takes the request.
     pub candidate: &'a EngineCandidate,
     /// The engine that holds most of the prompt; where it is another one, the prompt is fetched from it.
     pub holder: &'a EngineCandidate,
 }
 
-impl HeldPlacement<'_> {
+impl PromptPlacement<'_> {
     /// Whether the prompt is to be fetched.
     pub fn is_fetched(&self) -> bool {
         self.candidate.record.id != self.holder.record.id
@@ -44,7 +44,11 @@
 /// Answers the load after a loss of hosts: dozens of callers come back within a moment with prompts that engines have
 /// just read. Reading all of them again takes each engine seconds, and every caller waits for it. Where the holder is
 /// reading other prompts, which it does not break off, fetching from it costs less than waiting there.
-pub fn place_held<'a>(candidates: &'a [EngineCandidate], needed_tokens: u64, zone: &str) -> Option<HeldPlacement<'a>> {
+pub fn place_held_prompt<'a>(
+    candidates: &'a [EngineCandidate],
+    needed_tokens: u64,
+    zone: &str,
+) -> Option<PromptPlacement<'a>> {
     let answered = || candidates.iter().filter_map(|candidate| Some((candidate, candidate.report.as_ref()?)));
     let holder = holder_of_most(candidates)?;
     let costs = answered().map(|(candidate, report)| {
@@ -53,7 +57,7 @@
         (engine_cost(candidate, report, needed_tokens) + fetch + distance, candidate)
     });
     let (_, candidate) = costs.min_by(|(a, _), (b, _)| a.total_cmp(b))?;
-    Some(HeldPlacement { candidate, holder })
+    Some(PromptPlacement { candidate, holder })
 }
 
 fn holder_of_most(candidates: &[EngineCandidate]) -> Option<&EngineCandidate> {
--- a/crates/hollyhook_core/src/route/ring_index.rs
+++ b/crates/hollyhook_core/src/route/ring_index.rs
@@ -2,7 +2,7 @@
 use std::ops::Bound;
 
 use super::EndpointRecord;
-use super::rendezvous::weight;
+use super::rendezvous::rendezvous_weight;
 use crate::{EndpointId, Name, ZoneName};
 
 const POSITION: &[u8] = b"position";
@@ -64,5 +64,5 @@
 }
 
 fn place(id: &EndpointId) -> (u64, EndpointId) {
-    (weight(POSITION, id), EndpointId::clone(id))
+    (rendezvous_weight(POSITION, id), EndpointId::clone(id))
 }
--- a/crates/hollyhook_core/src/route/route_query.rs
+++ b/crates/hollyhook_core/src/route/route_query.rs
@@ -10,7 +10,7 @@
     pub(super) avoid: &'a [EndpointId],
     avoid_zone: Option<&'a ZoneName>,
     pub(super) affinity: Option<u128>,
-    pub(super) places: Option<u32>,
+    pub(super) slots: Option<u32>,
     pub(super) preferred: &'a [EndpointId],
     versions: Option<&'a VersionRule>,
     is_repeatable: bool,
@@ -25,7 +25,7 @@
             avoid: &[],
             avoid_zone: None,
             affinity: None,
-            places: None,
+            slots: None,
             preferred: &[],
             versions: None,
             is_repeatable: false,
@@ -83,8 +83,8 @@
 
     /// The same query for a request of which an endpoint holds that many at a time.
     #[must_use]
-    pub fn places(mut self, places: u32) -> Self {
-        self.places = Some(places);
+    pub fn slots(mut self, slots: u32) -> Self {
+        self.slots = Some(slots);
         self
     }
 
@@ -109,9 +109,9 @@
 
 /// How many endpoints are worth asking whether they hold a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HomeCounts {
+pub struct HolderLimits {
     /// Of the own zone, at most.
-    pub own: usize,
+    pub own_zone: usize,
     /// Of each other zone, at most.
-    pub far: usize,
+    pub other_zone: usize,
 }
--- a/crates/hollyhook_core/src/site/mod.rs
+++ b/crates/hollyhook_core/src/site/mod.rs
@@ -1,15 +1,15 @@
 //! The site as its operator configured it: routes, services, client accounts, limits, and which version is in force.
 
-mod account_plan;
-mod route_plan;
-mod service_plan;
+mod account_config;
+mod route_config;
+mod service_config;
+mod site_config;
 mod site_index;
-mod site_ledger;
-mod site_plan;
+mod site_state;
 
-pub use account_plan::AccountPlan;
-pub use route_plan::{RequestKind, RoutePlan, ServiceShare};
-pub use service_plan::{EngineMemory, ServicePlan};
+pub use account_config::AccountConfig;
+pub use route_config::{RequestKind, RouteConfig, ServiceShare};
+pub use service_config::{EngineMemory, ServiceConfig};
+pub use site_config::{CallerLimits, SiteConfig};
 pub use site_index::SiteIndex;
-pub use site_ledger::{PlanAdoption, SiteLedger};
-pub use site_plan::{CallerLimits, SitePlan};
+pub use site_state::{ConfigAdoption, SiteState};
--- a/crates/hollyhook_core/src/site/route_plan.rs
+++ b/crates/hollyhook_core/src/site/route_config.rs
@@ -39,7 +39,7 @@
 
 /// One route: which requests it takes, where they go and what holds for them.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RoutePlan {
+pub struct RouteConfig {
     /// Its name, for logs and metrics.
     pub name: Name,
     /// The host that requests name, in lower case and without a port.
@@ -51,41 +51,41 @@
     /// How long a request may be kept waiting for its whole answer.
     pub timeout: Duration,
     /// Time to the whole answer, or to the first event, that callers aim at.
-    pub objective: Duration,
+    pub latency_objective: Duration,
     /// The longest pause between two events of a stream that is still on time.
     pub gap_objective: Option<Duration>,
     /// Endpoints at which one request may run.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     /// The rank of its requests, 0 first.
-    pub rank: u8,
+    pub priority: u8,
     /// Whether it takes requests without an API key.
     pub is_public: bool,
     /// Where its requests go; at least one share.
     pub shares: Vec<ServiceShare>,
 }
 
-impl RoutePlan {
+impl RouteConfig {
     /// Whether a request that fails at its first endpoint may be tried at another one.
-    pub fn has_second_attempt(&self) -> bool {
-        self.kind.is_repeatable() && self.most_attempts > 1
+    pub fn is_retryable(&self) -> bool {
+        self.kind.is_repeatable() && self.max_attempts > 1
     }
 
     /// The service for a request, given a number drawn from 0 up to the sum of the weights.
     ///
     /// ```
-    /// # use hollyhook_core::{RequestKind, RoutePlan, ServiceShare};
+    /// # use hollyhook_core::{RequestKind, RouteConfig, ServiceShare};
     /// # use std::time::Duration;
     /// let share = |service: &str, weight| ServiceShare { service: service.into(), weight };
-    /// let route = RoutePlan {
+    /// let route = RouteConfig {
     ///     name: "lookup".into(),
     ///     host: "desk.example".into(),
     ///     prefix: "/".into(),
     ///     kind: RequestKind::Idempotent,
     ///     timeout: Duration::from_secs(1),
-    ///     objective: Duration::from_millis(150),
+    ///     latency_objective: Duration::from_millis(150),
     ///     gap_objective: None,
-    ///     most_attempts: 2,
-    ///     rank: 1,
+    ///     max_attempts: 2,
+    ///     priority: 1,
     ///     is_public: false,
     ///     shares: vec![share("old", 9), share("new", 1)],
     /// };
--- a/crates/hollyhook_core/src/site/service_plan.rs
+++ b/crates/hollyhook_core/src/site/service_config.rs
@@ -13,11 +13,11 @@
 
 /// One service.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ServicePlan {
+pub struct ServiceConfig {
     /// Its name.
     pub name: Name,
     /// Connections that one endpoint takes from all hosts together.
-    pub most_connections: u32,
+    pub max_connections: u32,
     /// The memory of its engines; none for a plain service.
     pub engine: Option<EngineMemory>,
 }
--- a/crates/hollyhook_core/src/site/site_plan.rs
+++ b/crates/hollyhook_core/src/site/site_config.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use super::{AccountPlan, RoutePlan, ServicePlan};
+use super::{AccountConfig, RouteConfig, ServiceConfig};
 
 /// What callers may send and how long they may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,15 +29,15 @@
 
 /// One version of the configuration, in full.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SitePlan {
+pub struct SiteConfig {
     /// Grows with each change, in uneven steps.
     pub version: u64,
     /// All routes.
-    pub routes: Vec<RoutePlan>,
+    pub routes: Vec<RouteConfig>,
     /// All services.
-    pub services: Vec<ServicePlan>,
+    pub services: Vec<ServiceConfig>,
     /// All client accounts; none if the site has no keys at all.
-    pub accounts: Option<Vec<AccountPlan>>,
+    pub accounts: Option<Vec<AccountConfig>>,
     /// What callers may send.
     pub limits: CallerLimits,
 }
--- a/crates/hollyhook_core/src/site/site_index.rs
+++ b/crates/hollyhook_core/src/site/site_index.rs
@@ -1,7 +1,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::{AccountPlan, CallerLimits, RoutePlan, ServicePlan, SitePlan};
+use super::{AccountConfig, CallerLimits, RouteConfig, ServiceConfig, SiteConfig};
 use crate::{Error, ErrorKind, Name, Result};
 
 /// One version of the configuration, arranged for lookups.
@@ -10,10 +10,10 @@
     version: u64,
     limits: CallerLimits,
     /// Routes by host, longest prefix first.
-    routes: HashMap<Name, Vec<Arc<RoutePlan>>>,
-    services: HashMap<Name, ServicePlan>,
+    routes: HashMap<Name, Vec<Arc<RouteConfig>>>,
+    services: HashMap<Name, ServiceConfig>,
     /// Accounts by key; none if the site has no keys at all.
-    accounts: Option<HashMap<Name, Arc<AccountPlan>>>,
+    accounts: Option<HashMap<Name, Arc<AccountConfig>>>,
 }
 
 impl SiteIndex {
@@ -33,7 +33,7 @@
     }
 
     /// The service of that name.
-    pub fn service(&self, name: &str) -> Option<&ServicePlan> {
+    pub fn service(&self, name: &str) -> Option<&ServiceConfig> {
         self.services.get(name)
     }
 
@@ -47,7 +47,7 @@
     /// # Errors
     ///
     /// `UnknownPath` if the host has no route for the path.
-    pub fn route(&self, host: &str, path: &str) -> Result<Arc<RoutePlan>> {
+    pub fn route(&self, host: &str, path: &str) -> Result<Arc<RouteConfig>> {
         let host = plain_host(host);
         let routes = self.routes.get(host.as_str());
         let found = routes.into_iter().flatten().find(|route| path.starts_with(&*route.prefix));
@@ -61,7 +61,7 @@
     /// # Errors
     ///
     /// `MissingKey` or `UnknownKey`.
-    pub fn account(&self, route: &RoutePlan, key: Option<&str>) -> Result<Option<Arc<AccountPlan>>> {
+    pub fn account(&self, route: &RouteConfig, key: Option<&str>) -> Result<Option<Arc<AccountConfig>>> {
         let Some(accounts) = &self.accounts else {
             return Ok(None);
         };
@@ -76,22 +76,22 @@
     }
 }
 
-impl From<SitePlan> for SiteIndex {
-    fn from(plan: SitePlan) -> Self {
-        let mut routes: HashMap<Name, Vec<Arc<RoutePlan>>> = HashMap::new();
-        for route in plan.routes {
+impl From<SiteConfig> for SiteIndex {
+    fn from(config: SiteConfig) -> Self {
+        let mut routes: HashMap<Name, Vec<Arc<RouteConfig>>> = HashMap::new();
+        for route in config.routes {
             routes.entry(Name::clone(&route.host)).or_default().push(Arc::new(route));
         }
         for routes in routes.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
-        let services = plan.services.into_iter().map(|service| (Name::clone(&service.name), service)).collect();
-        let accounts = plan.accounts.map(index_accounts);
-        Self { version: plan.version, limits: plan.limits, routes, services, accounts }
+        let services = config.services.into_iter().map(|service| (Name::clone(&service.name), service)).collect();
+        let accounts = config.accounts.map(index_accounts);
+        Self { version: config.version, limits: config.limits, routes, services, accounts }
     }
 }
 
-fn index_accounts(accounts: Vec<AccountPlan>) -> HashMap<Name, Arc<AccountPlan>> {
+fn index_accounts(accounts: Vec<AccountConfig>) -> HashMap<Name, Arc<AccountConfig>> {
     let mut index = HashMap::new();
     for account in accounts {
         let account = Arc::new(account);
--- a/crates/hollyhook_core/src/site/site_ledger.rs
+++ b/crates/hollyhook_core/src/site/site_state.rs
@@ -1,12 +1,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{SiteIndex, SitePlan};
+use super::{SiteConfig, SiteIndex};
 use crate::TimePoint;
 
 /// What became of a version that was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PlanAdoption {
+pub enum ConfigAdoption {
     /// It is in force now.
     Adopted,
     /// It is in force already.
@@ -20,31 +20,31 @@
 /// Versions only go forward. A host that can't reach the platform can't know whether a key was taken away, so it
 /// honours keys only for a bounded time after the platform last confirmed the version.
 #[derive(Debug, Default)]
-pub struct SiteLedger {
+pub struct SiteState {
     site: Option<Arc<SiteIndex>>,
     confirmed: Option<TimePoint>,
     /// The era of the store in which it was read.
     era: u64,
 }
 
-impl SiteLedger {
+impl SiteState {
     /// Takes in a version that was the newest in the store at `read_at`, in an era of the store.
     ///
     /// An older one in a later era is what the copy holds from which the store came back: the operator will write the newer one
     /// again, and until then nothing is newer than what is in force.
-    pub fn adopt(&mut self, plan: SitePlan, read_at: TimePoint, era: u64) -> PlanAdoption {
+    pub fn adopt(&mut self, config: SiteConfig, read_at: TimePoint, era: u64) -> ConfigAdoption {
         let current = self.site.as_ref().map(|site| site.version());
         let adoption = match current {
-            Some(version) if plan.version < version => PlanAdoption::Older,
-            Some(version) if plan.version == version => PlanAdoption::Same,
-            _ => PlanAdoption::Adopted,
+            Some(version) if config.version < version => ConfigAdoption::Older,
+            Some(version) if config.version == version => ConfigAdoption::Same,
+            _ => ConfigAdoption::Adopted,
         };
-        if adoption != PlanAdoption::Older || era > self.era {
+        if adoption != ConfigAdoption::Older || era > self.era {
             self.confirm(read_at);
         }
-        if adoption == PlanAdoption::Adopted {
+        if adoption == ConfigAdoption::Adopted {
             self.era = era;
-            self.site = Some(Arc::new(SiteIndex::from(plan)));
+            self.site = Some(Arc::new(SiteIndex::from(config)));
         }
         adoption
     }
@@ -60,7 +60,7 @@
     }
 
     /// When the version in force was last known to be the newest.
-    pub fn confirmed(&self) -> Option<TimePoint> {
+    pub fn confirmed_at(&self) -> Option<TimePoint> {
         self.confirmed
     }
 
--- a/crates/hollyhook_core/src/stream/silence_judge.rs
+++ b/crates/hollyhook_core/src/stream/silence_judge.rs
@@ -42,7 +42,7 @@
             Some(run) if run.events > delivered + EVENTS_UNDER_WAY => true,
             Some(_) if delivered > 0 => passes(&mut self.stalled, MOST_STALLED),
             Some(_) => passes(&mut self.queued, MOST_QUEUED),
-            None if report.has_unread() => passes(&mut self.queued, MOST_QUEUED),
+            None if report.has_pending_prompts() => passes(&mut self.queued, MOST_QUEUED),
             None => passes(&mut self.absent, MOST_ABSENT),
         };
         if is_lost { SilenceVerdict::Leave } else { SilenceVerdict::Wait }
--- a/crates/hollyhook_core/tests/fuzz/route_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/route_fuzz.rs
@@ -61,7 +61,7 @@
         let zone = format!("zone-{}", number % 2).into();
         let record = EndpointRecord::new(name(number), "tutor".into(), zone, address);
         table.upsert(record.binding(ModelBinding::new("t", version)));
-        table.report(&name(number), LoadReport { running: 0, waiting: 0, capacity: PLACES });
+        table.update_load(&name(number), LoadReport { running: 0, waiting: 0, capacity: PLACES });
         facts.insert(number, Fact { is_other_version, ..Fact::default() });
     }
     (table, facts)
@@ -79,16 +79,16 @@
                 Step::Choose(seed) => check_choice(&mut table, &mut facts, &binding, seed, None),
                 Step::Avoid(seed, endpoint) => check_choice(&mut table, &mut facts, &binding, seed, Some(endpoint)),
                 Step::Close(number) => {
-                    table.closed(&name(number));
+                    table.record_close(&name(number));
                     let fact = facts.get_mut(&number).unwrap();
                     fact.open = fact.open.saturating_sub(1);
                 }
                 Step::Fail(number) => {
-                    table.failed(TimePoint::ZERO, &name(number));
+                    table.record_failure(TimePoint::ZERO, &name(number));
                     facts.get_mut(&number).unwrap().has_failed = true;
                 }
                 Step::Succeed(number) => {
-                    table.succeeded(&name(number));
+                    table.record_success(&name(number));
                     facts.get_mut(&number).unwrap().has_failed = false;
                 }
                 Step::Leave(number) | Step::Return(number) => {
@@ -131,7 +131,7 @@
     if pool.len() <= 4 && facts[&number].open >= PLACES {
         assert!(pool.iter().all(|other| facts[other].open >= PLACES), "a full endpoint was chosen before a free one");
     }
-    table.opened(TimePoint::ZERO, &chosen);
+    table.record_open(TimePoint::ZERO, &chosen);
     facts.get_mut(&number).unwrap().open += 1;
 }
 
--- a/crates/hollyhook_core/tests/gateway/choosing.rs
+++ b/crates/hollyhook_core/tests/gateway/choosing.rs
@@ -1,8 +1,8 @@
 use std::time::Duration;
 
 use hollyhook_core::{
-    EndpointId, EndpointRecord, EndpointTable, EngineCandidate, EngineReport, EngineRun, HomeCounts, RouteQuery,
-    StoreRevision, TimePoint, choose_engine, excess_wait, is_settled, place_held,
+    EndpointId, EndpointRecord, EndpointTable, EngineCandidate, EngineReport, EngineRun, HolderLimits, RouteQuery,
+    StoreRevision, TimePoint, choose_engine, excess_wait, is_certain_choice, place_held_prompt,
 };
 use rand_pcg::Pcg64;
 use rand_pcg::rand_core::SeedableRng;
@@ -33,7 +33,7 @@
 }
 
 fn query() -> RouteQuery<'static> {
-    RouteQuery::new("model").places(10)
+    RouteQuery::new("model").slots(10)
 }
 
 const NOW: TimePoint = TimePoint::from_millis(10_000);
@@ -49,8 +49,8 @@
     let list = one.shortlist(NOW, &query(), 77, 2);
     let other = two.shortlist(NOW, &query(), 78, 8);
     let other = other.iter().find(|record| !ids(&list).contains(&&*record.id)).unwrap();
-    two.opened(NOW, &other.id);
-    two.opened(NOW, &other.id);
+    two.record_open(NOW, &other.id);
+    two.record_open(NOW, &other.id);
     assert_eq!(ids(&list), ids(&two.shortlist(NOW, &query(), 77, 2)));
     assert!(list.iter().all(|record| &*record.zone == "z0"), "the own zone goes first");
 }
@@ -63,7 +63,7 @@
     let preferred = [EndpointId::clone(&usual[1].id)];
     assert_eq!(table.shortlist(NOW, &query().prefer(&preferred), 77, 1)[0].id, preferred[0]);
     for _ in 0..6 {
-        table.opened(NOW, &preferred[0]);
+        table.record_open(NOW, &preferred[0]);
     }
     assert_eq!(table.shortlist(NOW, &query().prefer(&preferred), 77, 1)[0].id, usual[0].id);
 }
@@ -74,7 +74,7 @@
     let mut table = table(&["z0"], 8);
     let home = home(&table, 77);
     for _ in 0..3 {
-        table.opened(NOW, &home);
+        table.record_open(NOW, &home);
     }
     assert_ne!(table.shortlist(NOW, &query(), 77, 1)[0].id, home);
 }
@@ -95,7 +95,7 @@
 #[test]
 fn shortlist_leaves_out_ejected_and_zone() {
     let mut table = table(&["z0", "z1"], 2);
-    table.failed(NOW, "z0-0");
+    table.record_failure(NOW, "z0-0");
     let list = table.shortlist(after(100), &query(), 77, 9);
     assert!(!ids(&list).contains(&"z0-0"));
     let zone = "z0".into();
@@ -108,9 +108,9 @@
 fn zone_suspect_after_two_losses() {
     let mut table = table(&["z0", "z1"], 4);
     let mut rng = Pcg64::seed_from_u64(1);
-    table.failed(NOW, "z0-0");
+    table.record_failure(NOW, "z0-0");
     assert_eq!(&*table.shortlist(after(10), &query(), 77, 1)[0].zone, "z0", "one loss is its own");
-    table.failed(after(20), "z0-1");
+    table.record_failure(after(20), "z0-1");
     assert_eq!(&*table.shortlist(after(30), &query(), 77, 1)[0].zone, "z1");
     let chosen = table.choose(after(30), &query(), &mut rng).unwrap();
     assert!(chosen.starts_with("z1"));
@@ -121,8 +121,8 @@
 #[test]
 fn zone_not_suspect_after_one_engine() {
     let mut table = table(&["z0", "z1"], 4);
-    table.failed(NOW, "z0-0");
-    table.failed(after(10), "z0-0");
+    table.record_failure(NOW, "z0-0");
+    table.record_failure(after(10), "z0-0");
     assert_eq!(&*table.shortlist(after(30), &query(), 77, 1)[0].zone, "z0");
 }
 
@@ -131,8 +131,8 @@
 fn grey_endpoint_avoided() {
     let mut table = table(&["z0"], 2);
     for _ in 0..10 {
-        table.answered(NOW, "z0-0", true);
-        table.answered(NOW, "z0-1", false);
+        table.record_answer(NOW, "z0-0", true);
+        table.record_answer(NOW, "z0-1", false);
     }
     let mut rng = Pcg64::seed_from_u64(1);
     let chosen = (0..50).filter(|_| &*table.choose(NOW, &query(), &mut rng).unwrap() == "z0-0").count();
@@ -174,7 +174,7 @@
 
 fn start(entry: &str, started: u64, port: u16, registered: u64) -> EndpointRecord {
     let record = record(&format!("{entry}@{started}"), "z0", port, registered);
-    record.start_of(entry.into(), Some(started))
+    record.incarnation_of(entry.into(), Some(started))
 }
 
 /// What was counted and learnt of an engine is dropped when it starts again under its name.
@@ -182,13 +182,13 @@
 fn restart_known_as_another() {
     let mut table = table(&["z0"], 2);
     table.upsert(start("e", 1_000, 7, 5));
-    table.opened(NOW, "e@1000");
+    table.record_open(NOW, "e@1000");
     let later = start("e", 2_000, 7, 5);
     assert_eq!(table.displaced_by(&later), ["e@1000".into()]);
     table.remove("e@1000");
     table.upsert(later);
-    table.closed("e@1000");
-    table.failed(NOW, "e@1000");
+    table.record_close("e@1000");
+    table.record_failure(NOW, "e@1000");
     let record = table.get("e@2000").unwrap();
     assert_eq!((record.open, record.is_ejected(NOW)), (0, false));
     assert_eq!(table.registered_as("e"), ["e@2000".into()]);
@@ -249,7 +249,7 @@
         let first = reading(candidate("a", running, waiting, used), prompts);
         let idle = [candidate("b", 0, 0, 0), candidate("c", 0, 0, 0)];
         let all = [vec![first.clone()], idle.to_vec()].concat();
-        if is_settled(&first, 9_000) {
+        if is_certain_choice(&first, 9_000) {
             settled += 1;
             assert_eq!(chosen(&all), Some("a"), "{running} {waiting} {used} {prompts}");
         }
@@ -257,7 +257,7 @@
     assert_eq!(settled, 4, "up to two runs, or one prompt that is read");
     let mut silent = candidate("a", 0, 0, 0);
     silent.report = None;
-    assert!(!is_settled(&silent, 9_000));
+    assert!(!is_certain_choice(&silent, 9_000));
 }
 
 #[test]
@@ -276,7 +276,7 @@
 #[test]
 fn engine_counts_what_was_sent_since() {
     let mut table = table(&["z0"], 2);
-    table.opened(NOW, "z0-0");
+    table.record_open(NOW, "z0-0");
     let report = candidate("", 0, 0, 0).report;
     let as_of = |millis| {
         let known = |id| {
@@ -307,13 +307,13 @@
 #[test]
 fn homes_whatever_the_load() {
     let mut table = table(&["z0", "z1"], 6);
-    let before = table.homes(NOW, &query(), 77, HomeCounts { own: 2, far: 1 });
-    for record in table.homes(NOW, &query(), 77, HomeCounts { own: 1, far: 1 }) {
+    let before = table.likely_holders(NOW, &query(), 77, HolderLimits { own_zone: 2, other_zone: 1 });
+    for record in table.likely_holders(NOW, &query(), 77, HolderLimits { own_zone: 1, other_zone: 1 }) {
         for _ in 0..9 {
-            table.opened(NOW, &record.id);
+            table.record_open(NOW, &record.id);
         }
     }
-    let homes = table.homes(NOW, &query(), 77, HomeCounts { own: 2, far: 1 });
+    let homes = table.likely_holders(NOW, &query(), 77, HolderLimits { own_zone: 2, other_zone: 1 });
     assert_eq!(ids(&homes), ids(&before));
     let zones: Vec<&str> = homes.iter().map(|record| &*record.zone).collect();
     assert_eq!(zones, ["z0", "z0", "z1"]);
@@ -324,7 +324,7 @@
 fn homes_agree_with_shortlist() {
     let table = table(&["z0", "z1"], 6);
     for number in 0..50 {
-        let homes = table.homes(NOW, &query(), number, HomeCounts { own: 2, far: 1 });
+        let homes = table.likely_holders(NOW, &query(), number, HolderLimits { own_zone: 2, other_zone: 1 });
         assert_eq!(ids(&homes)[..2], ids(&table.shortlist(NOW, &query(), number, 2)));
     }
 }
@@ -335,7 +335,7 @@
 
 /// Where the request goes, and from where its prompt is fetched.
 fn held(candidates: &[EngineCandidate]) -> Option<(&str, Option<&str>)> {
-    let placement = place_held(candidates, 9_000, "z0")?;
+    let placement = place_held_prompt(candidates, 9_000, "z0")?;
     let fetched = placement.is_fetched().then_some(&*placement.holder.record.id);
     Some((&*placement.candidate.record.id, fetched))
 }
--- a/crates/hollyhook_core/tests/gateway/contact.rs
+++ b/crates/hollyhook_core/tests/gateway/contact.rs
@@ -80,7 +80,7 @@
     for bound in [3_000, 4_000, 5_000] {
         for answered in (8_000..14_000).step_by(50) {
             let back_at = away_since(8_000).answered(at(answered), millis(bound)).unwrap();
-            let forgotten = (back_at + EndpointMembership::RETURN_GRACE).max(at(answered));
+            let forgotten = (back_at + EndpointMembership::RECOVERY_GRACE).max(at(answered));
             let due = at(8_000) + millis(bound - 500);
             assert!(forgotten <= due.max(at(answered)), "answered at {answered}, kept until {forgotten:?}");
         }
--- a/crates/hollyhook_core/tests/gateway/copies.rs
+++ b/crates/hollyhook_core/tests/gateway/copies.rs
@@ -1,6 +1,6 @@
 //! Copies of runs under a load that fills the engines' memory, played without a network.
 
-use hollyhook_core::{EndpointRecord, EngineCandidate, EngineReport, choose_copy, choose_engine};
+use hollyhook_core::{EndpointRecord, EngineCandidate, EngineReport, choose_backup_engine, choose_engine};
 
 const ENGINES: usize = 16;
 const TOTAL: u64 = 88_000;
@@ -74,7 +74,7 @@
 /// Each run has a copy where memory is plenty.
 #[test]
 fn copies_made_for_all_with_room() {
-    let outcome = play(5, |engines, tokens| choose_copy(engines, tokens));
+    let outcome = play(5, |engines, tokens| choose_backup_engine(engines, tokens));
     assert_eq!((outcome.copied, outcome.waited), (outcome.begun, 0));
 }
 
@@ -83,7 +83,7 @@
 fn copies_yield_to_prompts() {
     let always = play(14, |engines, tokens| choose_engine(engines, tokens));
     assert!(always.waited > 10 * TICKS, "copies for all leave too little memory: {always:?}");
-    let yielding = play(14, |engines, tokens| choose_copy(engines, tokens));
+    let yielding = play(14, |engines, tokens| choose_backup_engine(engines, tokens));
     assert!(yielding.waited < yielding.begun, "{yielding:?}");
     assert_eq!(yielding.begun, 14 * TICKS / 10, "all that came");
     assert!(always.begun < yielding.begun * 3 / 4, "{always:?}");
--- a/crates/hollyhook_core/tests/gateway/large_fleet.rs
+++ b/crates/hollyhook_core/tests/gateway/large_fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use hollyhook_core::{
-    EndpointId, EndpointRecord, EndpointTable, HomeCounts, LoadReport, Name, RouteQuery, TimePoint, ZoneName,
+    EndpointId, EndpointRecord, EndpointTable, HolderLimits, LoadReport, Name, RouteQuery, TimePoint, ZoneName,
 };
 use rand_pcg::Pcg64;
 use rand_pcg::rand_core::SeedableRng;
@@ -33,7 +33,7 @@
 }
 
 fn fill(table: &mut EndpointTable, number: u32) {
-    table.report(&id(number), LoadReport { running: PLACES, waiting: 0, capacity: PLACES });
+    table.update_load(&id(number), LoadReport { running: PLACES, waiting: 0, capacity: PLACES });
 }
 
 #[test]
@@ -54,7 +54,7 @@
         table.remove(id);
     }
     for id in &gone[ENDPOINTS as usize / 2..] {
-        table.leave(NOW, id);
+        table.mark_leaving(NOW, id);
     }
     let mut rng = Pcg64::seed_from_u64(1);
     assert_eq!(table.choose(NOW, &RouteQuery::new("model"), &mut rng), Some(id(7_777)));
@@ -68,7 +68,7 @@
     for prompt in 0..200_u64 {
         let number = prompt.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let chosen = &first.shortlist(NOW, &query, number, 1)[0].id;
-        let homes = second.homes(NOW, &query, number, HomeCounts { own: 3, far: 1 });
+        let homes = second.likely_holders(NOW, &query, number, HolderLimits { own_zone: 3, other_zone: 1 });
         assert!(homes.iter().any(|home| home.id == *chosen), "prompt {prompt}");
     }
 }
@@ -105,7 +105,7 @@
     };
     let kept_if_idle = kept_of_100(&table);
     assert!((70..100).contains(&kept_if_idle), "{kept_if_idle} of 100; the others are to be heard of, too");
-    table.report(&id(60), LoadReport { running: 2, waiting: 0, capacity: PLACES });
+    table.update_load(&id(60), LoadReport { running: 2, waiting: 0, capacity: PLACES });
     assert_eq!(kept_of_100(&table), 0, "another one is idle");
     let far = [id(61)];
     let query = RouteQuery::new("model").prefer(&far);
--- a/crates/hollyhook_core/tests/gateway/membership.rs
+++ b/crates/hollyhook_core/tests/gateway/membership.rs
@@ -11,29 +11,29 @@
 #[test]
 fn missing_gone_at_once() {
     let mut membership = EndpointMembership::default();
-    assert!(membership.is_gone(at(5), &id("a")));
+    assert!(membership.mark_missing(at(5), &id("a")));
 }
 
 #[test]
 fn missing_after_outage_kept() {
     let mut membership = EndpointMembership::default();
-    membership.platform_back(at(1_000));
-    assert!(!membership.is_gone(at(1_000), &id("a")));
-    assert!(!membership.is_gone(at(1_500), &id("b")));
-    assert!(membership.lapsed(at(3_000)).is_empty());
-    membership.present(&id("a"));
-    assert_eq!(membership.lapsed(at(3_250)), [id("b")]);
-    assert!(membership.lapsed(at(9_000)).is_empty(), "each is returned once");
-    assert!(membership.is_gone(at(3_300), &id("a")), "the time to come back is over");
+    membership.platform_recovered(at(1_000));
+    assert!(!membership.mark_missing(at(1_000), &id("a")));
+    assert!(!membership.mark_missing(at(1_500), &id("b")));
+    assert!(membership.take_expired(at(3_000)).is_empty());
+    membership.mark_present(&id("a"));
+    assert_eq!(membership.take_expired(at(3_250)), [id("b")]);
+    assert!(membership.take_expired(at(9_000)).is_empty(), "each is returned once");
+    assert!(membership.mark_missing(at(3_300), &id("a")), "the time to come back is over");
 }
 
 #[test]
 fn second_outage_extends() {
     let mut membership = EndpointMembership::default();
-    membership.platform_back(at(1_000));
-    assert!(!membership.is_gone(at(1_000), &id("a")));
-    membership.platform_back(at(3_000));
-    assert!(!membership.is_gone(at(5_000), &id("b")));
+    membership.platform_recovered(at(1_000));
+    assert!(!membership.mark_missing(at(1_000), &id("a")));
+    membership.platform_recovered(at(3_000));
+    assert!(!membership.mark_missing(at(5_000), &id("b")));
 }
 
 const LIVE: EndpointState = EndpointState::Live;
@@ -43,9 +43,9 @@
 #[test]
 fn gone_outdated_in_older_copy() {
     let mut membership = EndpointMembership::default();
-    assert!(membership.is_gone(at(1_000), &id("a")));
+    assert!(membership.mark_missing(at(1_000), &id("a")));
     assert!(!membership.is_outdated(at(1_500), &id("a"), None, LIVE), "the platform is not older");
-    membership.platform_older(at(2_000));
+    membership.platform_rolled_back(at(2_000));
     assert!(membership.is_outdated(at(2_000), &id("a"), None, LIVE));
     assert!(!membership.is_outdated(at(2_000), &id("b"), None, LIVE), "nobody knows that it left");
     assert!(!membership.is_outdated(at(7_000), &id("a"), None, LIVE), "somebody renews it");
@@ -55,7 +55,7 @@
 fn leaving_outdated_in_older_copy() {
     let mut membership = EndpointMembership::default();
     assert!(!membership.is_outdated(at(1_000), &id("a"), Some(LEAVING), LIVE), "its own word, in order");
-    membership.platform_older(at(2_000));
+    membership.platform_rolled_back(at(2_000));
     assert!(membership.is_outdated(at(2_000), &id("a"), Some(LEAVING), LIVE));
     assert!(!membership.is_outdated(at(2_000), &id("a"), Some(LEAVING), LEAVING));
     assert!(!membership.is_outdated(at(2_000), &id("a"), Some(LIVE), LIVE));
@@ -65,8 +65,8 @@
 #[test]
 fn returned_not_outdated_in_older_copy() {
     let mut membership = EndpointMembership::default();
-    assert!(membership.is_gone(at(1_000), &id("a")));
-    membership.present(&id("a"));
-    membership.platform_older(at(2_000));
+    assert!(membership.mark_missing(at(1_000), &id("a")));
+    membership.mark_present(&id("a"));
+    membership.platform_rolled_back(at(2_000));
     assert!(!membership.is_outdated(at(2_000), &id("a"), None, LIVE));
 }
--- a/crates/hollyhook_core/tests/gateway/site.rs
+++ b/crates/hollyhook_core/tests/gateway/site.rs
@@ -1,31 +1,31 @@
 use std::time::Duration;
 
 use hollyhook_core::{
-    AccountPlan, CallerLimits, ErrorKind, PlanAdoption, RequestKind, RoutePlan, ServiceShare, SiteIndex, SiteLedger,
-    SitePlan, TimePoint,
+    AccountConfig, CallerLimits, ConfigAdoption, ErrorKind, RequestKind, RouteConfig, ServiceShare, SiteConfig,
+    SiteIndex, SiteState, TimePoint,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn route(host: &str, prefix: &str) -> RoutePlan {
-    RoutePlan {
+fn route(host: &str, prefix: &str) -> RouteConfig {
+    RouteConfig {
         name: prefix.into(),
         host: host.into(),
         prefix: prefix.into(),
         kind: RequestKind::Idempotent,
         timeout: Duration::from_secs(1),
-        objective: Duration::from_millis(150),
+        latency_objective: Duration::from_millis(150),
         gap_objective: None,
-        most_attempts: 2,
-        rank: 1,
+        max_attempts: 2,
+        priority: 1,
         is_public: prefix.starts_with("/open/"),
         shares: vec![ServiceShare { service: "desk".into(), weight: 1 }],
     }
 }
 
-fn plan(version: u64, keys: &[&str]) -> SitePlan {
+fn plan(version: u64, keys: &[&str]) -> SiteConfig {
     let keys = keys.iter().map(|key| (*key).into()).collect();
-    SitePlan {
+    SiteConfig {
         version,
         routes: vec![
             route("a.example", "/x/"),
@@ -34,7 +34,7 @@
             route("a.example", "/open/"),
         ],
         services: Vec::new(),
-        accounts: Some(vec![AccountPlan { name: "office".into(), keys, rank: None }]),
+        accounts: Some(vec![AccountConfig { name: "office".into(), keys, priority: None }]),
         limits: CallerLimits::default(),
     }
 }
@@ -64,27 +64,27 @@
     assert_eq!(site.account(&closed, None).unwrap_err().kind(), ErrorKind::MissingKey);
     let open = site.route("a.example", "/open/1").unwrap();
     assert!(site.account(&open, None).unwrap().is_none());
-    let keyless = SiteIndex::from(SitePlan { accounts: None, ..plan(1, &[]) });
+    let keyless = SiteIndex::from(SiteConfig { accounts: None, ..plan(1, &[]) });
     assert!(keyless.account(&closed, None).unwrap().is_none());
 }
 
 /// What an older copy of the store holds is not in force, and takes no confirmation from what is: the store holds nothing newer.
 #[test]
 fn ledger_older_version_of_later_era_confirms() {
-    let mut ledger = SiteLedger::default();
+    let mut ledger = SiteState::default();
     ledger.adopt(plan(4, &[]), TimePoint::from_millis(1_000), 1);
-    assert_eq!(ledger.adopt(plan(3, &[]), TimePoint::from_millis(9_000), 2), PlanAdoption::Older);
+    assert_eq!(ledger.adopt(plan(3, &[]), TimePoint::from_millis(9_000), 2), ConfigAdoption::Older);
     assert_eq!(ledger.site().unwrap().version(), 4);
-    assert_eq!(ledger.confirmed(), Some(TimePoint::from_millis(9_000)));
+    assert_eq!(ledger.confirmed_at(), Some(TimePoint::from_millis(9_000)));
     ledger.adopt(plan(5, &[]), TimePoint::from_millis(9_500), 2);
-    assert_eq!(ledger.adopt(plan(4, &[]), TimePoint::from_millis(9_900), 2), PlanAdoption::Older);
-    assert_eq!(ledger.confirmed(), Some(TimePoint::from_millis(9_500)));
+    assert_eq!(ledger.adopt(plan(4, &[]), TimePoint::from_millis(9_900), 2), ConfigAdoption::Older);
+    assert_eq!(ledger.confirmed_at(), Some(TimePoint::from_millis(9_500)));
 }
 
 #[test]
 fn ledger_honours_keys_for_a_bounded_time() {
     let bound = Duration::from_secs(3);
-    let mut ledger = SiteLedger::default();
+    let mut ledger = SiteState::default();
     assert!(!ledger.is_current(TimePoint::ZERO, bound));
     ledger.adopt(plan(4, &[]), TimePoint::from_millis(1_000), 1);
     assert!(ledger.is_current(TimePoint::from_millis(3_999), bound));
@@ -94,7 +94,7 @@
     ledger.confirm(TimePoint::from_millis(500));
     assert!(ledger.is_current(TimePoint::from_millis(4_500), bound));
     // A late read of an older version confirms nothing.
-    assert_eq!(ledger.adopt(plan(3, &[]), TimePoint::from_millis(9_000), 1), PlanAdoption::Older);
+    assert_eq!(ledger.adopt(plan(3, &[]), TimePoint::from_millis(9_000), 1), ConfigAdoption::Older);
     assert!(!ledger.is_current(TimePoint::from_millis(9_000), bound));
 }
 
@@ -104,7 +104,7 @@
     /// Whatever order versions are read in, the newest read so far is in force, and it never goes back.
     #[test]
     fn ledger_never_goes_back(versions in proptest::collection::vec(0_u64..20, 1..40)) {
-        let mut ledger = SiteLedger::default();
+        let mut ledger = SiteState::default();
         let mut newest = None;
         for (step, version) in versions.into_iter().enumerate() {
             ledger.adopt(plan(version, &[]), TimePoint::from_millis(step as u64), 1);
--- a/crates/hollyhook_core/tests/gateway/terms.rs
+++ b/crates/hollyhook_core/tests/gateway/terms.rs
@@ -101,7 +101,7 @@
     assert!(limited(table.terms_mut(), NOW, 0.1));
     table.remove("i-1");
     table.upsert(record("i-1"));
-    assert_eq!(table.held_back_for(NOW, &RouteQuery::new("desk")), Some(Duration::ZERO));
+    assert_eq!(table.shortest_pause(NOW, &RouteQuery::new("desk")), Some(Duration::ZERO));
 }
 
 #[test]
@@ -120,8 +120,8 @@
 fn leaving_outlives_listing() {
     let mut table = EndpointTable::new("z0".into());
     table.upsert(record("i-1"));
-    assert!(table.leave(NOW, &"i-1".into()));
-    assert!(!table.leave(NOW, &"i-1".into()), "the same again is no news");
+    assert!(table.mark_leaving(NOW, &"i-1".into()));
+    assert!(!table.mark_leaving(NOW, &"i-1".into()), "the same again is no news");
     table.upsert(record("i-1"));
     assert_eq!(table.get("i-1").unwrap().state, EndpointState::Leaving);
     table.remove("i-1");
@@ -138,8 +138,8 @@
     let query = RouteQuery::new("desk");
     assert!(table.terms_mut().pause(NOW, &"i-1".into(), Duration::from_secs(3)));
     assert!(!table.terms_mut().pause(NOW, &"i-1".into(), Duration::from_secs(1)), "a shorter one ends no sooner");
-    assert_eq!(table.held_back_for(after(1_000), &query), Some(Duration::from_secs(2)));
+    assert_eq!(table.shortest_pause(after(1_000), &query), Some(Duration::from_secs(2)));
     assert!(!table.try_open(after(2_999), "i-1"));
     assert!(table.try_open(after(3_000), "i-1"));
-    assert_eq!(table.held_back_for(after(3_000), &query), None);
+    assert_eq!(table.shortest_pause(after(3_000), &query), None);
 }
--- a/crates/hollyhook_core/tests/gateway/trials.rs
+++ b/crates/hollyhook_core/tests/gateway/trials.rs
@@ -52,8 +52,8 @@
         for millis in (0..self.counted.end).step_by(CALL_PAUSE_MS) {
             let now = TimePoint::from_millis(1_000 + millis);
             while let Some((at, id, is_failure)) = open.pop_front_if(|(at, ..)| *at <= now) {
-                table.closed(&id);
-                table.answered(at, &id, is_failure);
+                table.record_close(&id);
+                table.record_answer(at, &id, is_failure);
             }
             let is_repeatable = rng.random_ratio(self.repeatable, 100);
             let query = RouteQuery::new("desk").repeatable(is_repeatable);
--- a/crates/hollyhook_daemon/src/call/call_driver.rs
+++ b/crates/hollyhook_daemon/src/call/call_driver.rs
@@ -156,7 +156,7 @@
         };
         self.endpoint = Some(EndpointId::clone(&endpoint));
         let client = HttpClient::new(CONNECT_TIMEOUT);
-        context.fleet.lock().opened(context.timer.now(), &endpoint);
+        context.fleet.lock().record_open(context.timer.now(), &endpoint);
         let event = match client.connect(address).await {
             Err(_) => CallEvent::ConnectFailed,
             Ok(_) if context.timer.now() >= self.deadline => CallEvent::DeadlinePassed,
@@ -174,10 +174,10 @@
             }
         };
         let mut table = context.fleet.lock();
-        table.closed(&endpoint);
+        table.record_close(&endpoint);
         match event {
-            CallEvent::Answered => table.succeeded(&endpoint),
-            _ => table.failed(context.timer.now(), &endpoint),
+            CallEvent::Answered => table.record_success(&endpoint),
+            _ => table.record_failure(context.timer.now(), &endpoint),
         }
         event
     }
--- a/crates/hollyhook_daemon/src/fleet/load_poller.rs
+++ b/crates/hollyhook_daemon/src/fleet/load_poller.rs
@@ -38,7 +38,7 @@
 async fn poll(context: &HostContext, id: &EndpointId, address: SocketAddr) {
     let Ok(answer) = context.engine.load(address, TIMEOUT).await else {
         context.board.count("load_poll_failed");
-        context.fleet.lock().failed(context.timer.now(), id);
+        context.fleet.lock().record_failure(context.timer.now(), id);
         return;
     };
     take_report(context, id, &answer);
@@ -47,7 +47,7 @@
 /// Takes an engine's word on itself in, from a poll or with a stream.
 pub(crate) fn take_report(context: &HostContext, id: &EndpointId, answer: &EngineLoad) {
     let mut table = context.fleet.lock();
-    table.report(id, answer.load);
+    table.update_load(id, answer.load);
     let Some(record) = table.get_mut(id) else {
         return;
     };
--- a/crates/hollyhook_daemon/src/fleet/probe_service.rs
+++ b/crates/hollyhook_daemon/src/fleet/probe_service.rs
@@ -56,7 +56,7 @@
             None => ProbeReport::Dead,
         };
         if report == ProbeReport::Dead {
-            context.fleet.lock().failed(context.timer.now(), endpoint);
+            context.fleet.lock().record_failure(context.timer.now(), endpoint);
         }
         self.release(endpoint, report == ProbeReport::Dead);
         report
--- a/crates/hollyhook_daemon/src/relay/attempt_link.rs
+++ b/crates/hollyhook_daemon/src/relay/attempt_link.rs
@@ -36,7 +36,7 @@
 
 impl Drop for AttemptLink {
     fn drop(&mut self) {
-        self.context.fleet.lock().closed(&self.endpoint);
+        self.context.fleet.lock().record_close(&self.endpoint);
     }
 }
 
@@ -109,7 +109,7 @@
             Ok(StreamItem::End { position, reason, usage, .. }) => {
                 self.phase = LinkPhase::Ended;
                 self.usage = usage;
-                self.context.fleet.lock().succeeded(&self.endpoint);
+                self.context.fleet.lock().record_success(&self.endpoint);
                 RelayEvent::EndArrived { attempt, position, reason }
             }
             Err(_) => self.lost(),
@@ -123,7 +123,7 @@
     }
 
     fn note_failure(&self) {
-        self.context.fleet.lock().failed(self.context.timer.now(), &self.endpoint);
+        self.context.fleet.lock().record_failure(self.context.timer.now(), &self.endpoint);
     }
 }
 
--- a/crates/hollyhook_daemon/src/relay/relay_driver.rs
+++ b/crates/hollyhook_daemon/src/relay/relay_driver.rs
@@ -185,7 +185,7 @@
     }
 
     fn open(&mut self, attempt: AttemptNumber, endpoint: EndpointId, mode: OpenMode) {
-        self.context.fleet.lock().opened(self.context.timer.now(), &endpoint);
+        self.context.fleet.lock().record_open(self.context.timer.now(), &endpoint);
         self.opened_at = Some(self.context.timer.now());
         let extension = EngineExtension {
             generation: self.generation,
--- a/crates/hollyhook_daemon/src/relay/takeover.rs
+++ b/crates/hollyhook_daemon/src/relay/takeover.rs
@@ -74,7 +74,7 @@
     generation: GenerationId,
 ) -> Option<(EndpointId, GenerationState)> {
     let query = RouteQuery::new(service).binding(&settings.binding);
-    let candidates = context.fleet.lock().candidates(&query, generation.bits());
+    let candidates = context.fleet.lock().affinity_candidates(&query, generation.bits());
     let asks = candidates.into_iter().map(|id| async move {
         let address = context.fleet.address(&id)?;
         let held = context.engine.find(address, generation, FIND_TIMEOUT).await.ok()??;
--- a/crates/hollyhook_gateway/src/forward/attempt.rs
+++ b/crates/hollyhook_gateway/src/forward/attempt.rs
@@ -78,7 +78,7 @@
 
 impl Drop for EndpointPlace {
     fn drop(&mut self) {
-        self.context.endpoints.table().closed(&self.target.id);
+        self.context.endpoints.table().record_close(&self.target.id);
     }
 }
 
--- a/crates/hollyhook_gateway/src/forward/engine_choice.rs
+++ b/crates/hollyhook_gateway/src/forward/engine_choice.rs
@@ -5,8 +5,9 @@
 
 use futures::future::join;
 use hollyhook_core::{
-    EndpointId, EndpointRecord, EndpointState, EngineCandidate, HomeCounts, Name, RouteQuery, StopReason, VersionRule,
-    ZoneName, choose_copy, choose_engine, excess_wait, has_holder, is_settled, place_held,
+    EndpointId, EndpointRecord, EndpointState, EngineCandidate, HolderLimits, Name, RouteQuery, StopReason,
+    VersionRule, ZoneName, choose_backup_engine, choose_engine, excess_wait, has_holder, is_certain_choice,
+    place_held_prompt,
 };
 use hollyhook_platform::BackupSource;
 use rand::Rng;
@@ -22,9 +23,9 @@
 
 /// Engines that are asked whether they hold the prompt of a generation that comes back: of the own zone, and of each other
 /// one. Most have last been at one of these.
-const FIRST_HOMES: HomeCounts = HomeCounts { own: 3, far: 1 };
+const FIRST_HOMES: HolderLimits = HolderLimits { own_zone: 3, other_zone: 1 };
 /// The same if none of the first does.
-const ALL_HOMES: HomeCounts = HomeCounts { own: 6, far: 3 };
+const ALL_HOMES: HolderLimits = HolderLimits { own_zone: 6, other_zone: 3 };
 
 /// How long a connection to an engine of another zone has been idle before it makes that engine go first. A host that starts
 /// a generation every 3 s then asks the same two engines each time, and one of many generations spreads their copies: an
@@ -110,7 +111,7 @@
             let rest = self.ask_homes(part, ALL_HOMES, &homes).await;
             homes.extend(rest);
         }
-        let placement = place_held(&homes, self.needed_tokens(), &self.context.zone)?;
+        let placement = place_held_prompt(&homes, self.needed_tokens(), &self.context.zone)?;
         let (record, holder) = (&placement.candidate.record, &placement.holder.record);
         tracing::info!(request = %self.caller.head.attempt_id, endpoint = %holder.id,
             tokens = placement.holder.held_tokens, is_fetched = placement.is_fetched(), "prompt.found");
@@ -129,8 +130,8 @@
     }
 
     /// Asks the engines that the prompt may have gone to, without those that were asked.
-    async fn ask_homes(&self, part: u64, counts: HomeCounts, asked: &[EngineCandidate]) -> Vec<EngineCandidate> {
-        let mut homes = self.context.endpoints.homes(&self.query(), self.home(), counts);
+    async fn ask_homes(&self, part: u64, counts: HolderLimits, asked: &[EngineCandidate]) -> Vec<EngineCandidate> {
+        let mut homes = self.context.endpoints.likely_holders(&self.query(), self.home(), counts);
         homes.retain(|home| asked.iter().all(|candidate| candidate.record.id != home.id));
         let mut candidates = ask_holdings(self.context, homes, part).await;
         self.refresh(&mut candidates);
@@ -169,7 +170,7 @@
         // Asked twice at once, an engine would be left out for the slower answer, and its copy not gone on from.
         rest.retain(|record| second.iter().all(|listed| listed.id != record.id));
         let (mut asked, elsewhere) = join(ask_all(self.context, first), ask_all(self.context, second)).await;
-        if !asked.first().is_some_and(|best| is_settled(best, self.needed_tokens())) {
+        if !asked.first().is_some_and(|best| is_certain_choice(best, self.needed_tokens())) {
             asked.extend(ask_all(self.context, rest).await);
         }
         (asked, elsewhere)
@@ -227,7 +228,7 @@
     pub(super) async fn choose_backup(&self, running: &EndpointTarget) -> Option<EndpointTarget> {
         let record = self.context.endpoints.table().get(&running.id).cloned()?;
         let candidates = ask_all(self.context, self.list_elsewhere(&record)).await;
-        let best = choose_copy(&candidates, self.needed_tokens())?;
+        let best = choose_backup_engine(&candidates, self.needed_tokens())?;
         Some(EndpointTarget::from(&best.record))
     }
 
@@ -241,7 +242,7 @@
             return None;
         }
         let elsewhere = candidates.iter().filter(|candidate| candidate.record.zone != place.target.zone);
-        let best = choose_copy(elsewhere, self.needed_tokens())?;
+        let best = choose_backup_engine(elsewhere, self.needed_tokens())?;
         let attempt_id = Name::clone(&self.caller.head.attempt_id);
         let source = BackupSource { address: best.record.address, name: attempt_id };
         Some(BackupPlace { id: EndpointId::clone(&best.record.id), source, is_ordered: false })
@@ -250,9 +251,9 @@
     /// A query for an engine, whose memory binds before its slots do.
     fn query(&self) -> RouteQuery<'_> {
         let query = RouteQuery::new(&self.caller.service).avoid(self.tried).versions(self.versions);
-        let query = query.repeatable(self.caller.route.has_second_attempt());
+        let query = query.repeatable(self.caller.route.is_retryable());
         match self.caller.engine {
-            Some(engine) => query.places((engine.capacity_tokens / self.needed_tokens()).max(1) as u32),
+            Some(engine) => query.slots((engine.capacity_tokens / self.needed_tokens()).max(1) as u32),
             None => query,
         }
     }
--- a/crates/hollyhook_gateway/src/forward/plain_call.rs
+++ b/crates/hollyhook_gateway/src/forward/plain_call.rs
@@ -108,7 +108,7 @@
         let rule = self.context.rollouts.rule(&self.caller.service, self.tried.is_empty()).unwrap_or_default();
         let query = RouteQuery::new(&self.caller.service).avoid(&self.tried).versions(&rule);
         let kept = self.context.pool.rested(Duration::ZERO);
-        let query = query.repeatable(self.caller.route.has_second_attempt()).prefer(&kept);
+        let query = query.repeatable(self.caller.route.is_retryable()).prefer(&kept);
         EndpointPlace::take_any(self.context, &query).ok_or_else(|| self.context.endpoints.lack(&query))
     }
 
@@ -135,7 +135,7 @@
         if self.caller.route.kind != RequestKind::Idempotent || self.ledger.is_last() {
             return left;
         }
-        left.min(self.caller.route.objective.mul_f64(SILENCE_FACTOR))
+        left.min(self.caller.route.latency_objective.mul_f64(SILENCE_FACTOR))
     }
 
     async fn exchange(&self, place: &EndpointPlace) -> CallEnd {
--- a/crates/hollyhook_gateway/src/front/admission.rs
+++ b/crates/hollyhook_gateway/src/front/admission.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollyhook_core::{AccountPlan, Error, ErrorKind, Name, Result, RoutePlan, SiteIndex};
+use hollyhook_core::{AccountConfig, Error, ErrorKind, Name, Result, RouteConfig, SiteIndex};
 use http::Method;
 use http::header::HOST;
 use http::request::Parts;
@@ -68,7 +68,7 @@
     Ok(())
 }
 
-fn find_route(site: &SiteIndex, parts: &Parts) -> Result<Arc<RoutePlan>> {
+fn find_route(site: &SiteIndex, parts: &Parts) -> Result<Arc<RouteConfig>> {
     let mut hosts = parts.headers.get_all(HOST).iter();
     let host = hosts.next().and_then(|host| host.to_str().ok());
     let host = host.or_else(|| parts.uri.host());
@@ -82,10 +82,10 @@
 
 fn find_account(
     site: &SiteIndex,
-    route: &RoutePlan,
+    route: &RouteConfig,
     key: Option<&Name>,
     context: &GatewayContext,
-) -> Result<Option<Arc<AccountPlan>>> {
+) -> Result<Option<Arc<AccountConfig>>> {
     if !route.is_public && !context.is_site_current() {
         return Err(uncertain(Some(route)));
     }
@@ -98,14 +98,14 @@
     if context.is_site_current() { error } else { uncertain(None) }
 }
 
-fn uncertain(route: Option<&RoutePlan>) -> Error {
+fn uncertain(route: Option<&RouteConfig>) -> Error {
     let why = "the platform has not confirmed this host's configuration for too long";
     let is_stream = route.is_some_and(|route| route.kind.is_stream());
     let retry = if is_stream { UNCERTAIN_STREAM_RETRY } else { UNCERTAIN_CALL_RETRY };
     Error::new(ErrorKind::PlatformDown, why).retry_after(retry)
 }
 
-fn check_stop(route: &RoutePlan, patience: Duration, context: &GatewayContext) -> Result<()> {
+fn check_stop(route: &RouteConfig, patience: Duration, context: &GatewayContext) -> Result<()> {
     if context.is_taking(route.kind, patience) {
         return Ok(());
     }
@@ -113,7 +113,7 @@
     Err(Error::new(ErrorKind::Draining, why).retry_after(STOPPING_RETRY))
 }
 
-fn draw_service(route: &RoutePlan) -> Result<Name> {
+fn draw_service(route: &RouteConfig) -> Result<Name> {
     let total = route.total_weight();
     let draw = if total > 1 { rand::rng().random_range(0..total) } else { 0 };
     route.service(draw).ok_or_else(|| {
--- a/crates/hollyhook_gateway/src/front/caller_request.rs
+++ b/crates/hollyhook_gateway/src/front/caller_request.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hollyhook_core::{AccountPlan, CallerHead, EngineMemory, Name, RequestDigest, RoutePlan, TimePoint};
+use hollyhook_core::{AccountConfig, CallerHead, EngineMemory, Name, RequestDigest, RouteConfig, TimePoint};
 use http::{HeaderMap, Method, Uri};
 
 use crate::gateway::{BodyClaim, RequestGuard};
@@ -15,8 +15,8 @@
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) head: CallerHead,
-    pub(crate) route: Arc<RoutePlan>,
-    pub(crate) account: Option<Arc<AccountPlan>>,
+    pub(crate) route: Arc<RouteConfig>,
+    pub(crate) account: Option<Arc<AccountConfig>>,
     pub(crate) service: Name,
     /// The memory of the service's engines; none for a plain service.
     pub(crate) engine: Option<EngineMemory>,
@@ -45,6 +45,6 @@
 
     /// The rank that goes before the route's is the account's.
     pub(crate) fn rank(&self) -> u8 {
-        self.account.as_ref().and_then(|account| account.rank).unwrap_or(self.route.rank)
+        self.account.as_ref().and_then(|account| account.priority).unwrap_or(self.route.priority)
     }
 }
--- a/crates/hollyhook_gateway/src/gateway/endpoint_directory.rs
+++ b/crates/hollyhook_gateway/src/gateway/endpoint_directory.rs
@@ -2,8 +2,8 @@
 use std::time::Duration;
 
 use hollyhook_core::{
-    AttemptFailure, EndpointId, EndpointRecord, EndpointState, EndpointTable, HomeCounts, LoadReport, Name, Result,
-    RouteQuery, SiteIndex, SiteLedger, StatedTerms, StopReason, TimePoint, ZoneName,
+    AttemptFailure, EndpointId, EndpointRecord, EndpointState, EndpointTable, HolderLimits, LoadReport, Name, Result,
+    RouteQuery, SiteIndex, SiteState, StatedTerms, StopReason, TimePoint, ZoneName,
 };
 use hollyhook_kernel::{ServiceRegistry, TimerService};
 use hollyhook_telemetry::MetricBoard;
@@ -33,7 +33,7 @@
     pool: Arc<ConnectionPool>,
     board: Arc<MetricBoard>,
     feed: Arc<FeedBoard>,
-    site: Arc<Mutex<SiteLedger>>,
+    site: Arc<Mutex<SiteState>>,
     table: Mutex<EndpointTable>,
     /// Until when it is known that nothing else changed; none before the first list.
     confirmed: Mutex<Option<TimePoint>>,
@@ -159,7 +159,7 @@
         let id = hollyhook_platform::endpoint_id(&known.entry, started);
         let mut record =
             EndpointRecord::new(id, known.service, known.zone, known.address).capacity(known.load.capacity);
-        record = record.version(known.version).start_of(known.entry, started);
+        record = record.version(known.version).incarnation_of(known.entry, started);
         record.registered = known.registered;
         record.state = known.state;
         self.upsert_into(&mut table, site.as_deref(), record);
@@ -168,7 +168,7 @@
 
     /// Takes in that an endpoint says itself that it leaves; its entry may say so later, or be gone without a word.
     pub(crate) fn note_leaving(&self, id: &EndpointId) {
-        if !self.table().leave(self.timer.now(), id) {
+        if !self.table().mark_leaving(self.timer.now(), id) {
             return;
         }
         self.pool.forget(id);
@@ -205,8 +205,8 @@
     }
 
     /// The entry at which hosts note what all of them have to know; the same at all hosts that know the same endpoints.
-    pub(crate) fn noting_entry(&self) -> Option<Name> {
-        self.table().noting_entry()
+    pub(crate) fn crash_record_entry(&self) -> Option<Name> {
+        self.table().crash_record_entry()
     }
 
     /// Whether an endpoint of a service is known that takes work.
@@ -225,7 +225,7 @@
 
     /// Why no endpoint is left for a request.
     pub(crate) fn lack(&self, query: &RouteQuery<'_>) -> EndpointLack {
-        match self.table().held_back_for(self.timer.now(), query) {
+        match self.table().shortest_pause(self.timer.now(), query) {
             Some(pause) => {
                 self.board.count("requests_held_back");
                 EndpointLack { reason: StopReason::HeldBack, pause }
@@ -240,8 +240,13 @@
     }
 
     /// The endpoints that a prompt may have gone to.
-    pub(crate) fn homes(&self, query: &RouteQuery<'_>, number: u64, counts: HomeCounts) -> Vec<EndpointRecord> {
-        self.table().homes(self.timer.now(), query, number, counts)
+    pub(crate) fn likely_holders(
+        &self,
+        query: &RouteQuery<'_>,
+        number: u64,
+        counts: HolderLimits,
+    ) -> Vec<EndpointRecord> {
+        self.table().likely_holders(self.timer.now(), query, number, counts)
     }
 
     /// Brings what is known of an endpoint up to date.
@@ -257,7 +262,7 @@
     }
 
     pub(crate) fn note_load(&self, id: &str, load: LoadReport) {
-        self.table().report(id, load);
+        self.table().update_load(id, load);
     }
 
     /// Takes in what became of an attempt.
@@ -266,20 +271,20 @@
         let mut table = self.table();
         match failure {
             None => {
-                table.succeeded(id);
-                table.answered(self.timer.now(), id, false);
+                table.record_success(id);
+                table.record_answer(self.timer.now(), id, false);
             }
             Some(AttemptFailure::WrongIncarnation) => {
                 table.remove(id);
                 self.pool.forget(id);
             }
             Some(failure) if failure.is_loss() => {
-                table.failed(self.timer.now(), id);
+                table.record_failure(self.timer.now(), id);
                 tracing::info!(endpoint = %id, failure = failure.as_str(), "endpoint.ejected");
                 self.pool.forget(id);
             }
             Some(AttemptFailure::Rejected | AttemptFailure::Failed | AttemptFailure::Garbled) => {
-                table.answered(self.timer.now(), id, true);
+                table.record_answer(self.timer.now(), id, true);
             }
             Some(_) => {}
         }
--- a/crates/hollyhook_gateway/src/gateway/gateway_context.rs
+++ b/crates/hollyhook_gateway/src/gateway/gateway_context.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hollyhook_core::{
-    FeedTiming, Name, PlanAdoption, RequestKind, Result, SiteIndex, SiteLedger, SitePlan, StopPhase, StopPlan,
+    ConfigAdoption, FeedTiming, Name, RequestKind, Result, SiteConfig, SiteIndex, SiteState, StopPhase, StopPlan,
     TimePoint, ZoneName,
 };
 use hollyhook_kernel::{ServiceRegistry, TimerService, WallClock};
@@ -54,7 +54,7 @@
     pub(crate) quarantine: Arc<QuarantineBoard>,
     pub(crate) rollouts: Arc<RolloutBoard>,
     live: Arc<Mutex<LiveSettings>>,
-    site: Arc<Mutex<SiteLedger>>,
+    site: Arc<Mutex<SiteState>>,
     retries: Arc<RetryBudgets>,
     has_endpoints: AtomicBool,
 }
@@ -76,7 +76,7 @@
         registry.register(MetricBoard::NAME, MetricBoard::default())?;
         registry.register(RequestLoad::NAME, RequestLoad::new(settings.memory_bytes))?;
         registry.register(Self::SETTINGS, Mutex::new(LiveSettings::from(settings)))?;
-        registry.register(Self::SITE, Mutex::new(SiteLedger::default()))?;
+        registry.register(Self::SITE, Mutex::new(SiteState::default()))?;
         let endpoints = EndpointDirectory::new(registry, Self::SITE, &settings.zone)?;
         registry.register(EndpointDirectory::NAME, endpoints)?;
         registry.register(QuarantineBoard::NAME, QuarantineBoard::new(registry)?)?;
@@ -212,7 +212,7 @@
 
     /// How long ago the configuration in force was last known to be the newest.
     pub(crate) fn site_age(&self) -> Option<Duration> {
-        let confirmed = lock(&self.site).confirmed()?;
+        let confirmed = lock(&self.site).confirmed_at()?;
         Some(self.timer.now().since(confirmed))
     }
 
@@ -222,8 +222,8 @@
         lock(&self.site).is_current(self.timer.now(), bound)
     }
 
-    pub(crate) fn adopt_site(&self, plan: SitePlan, read_at: TimePoint, era: u64) -> PlanAdoption {
-        lock(&self.site).adopt(plan, read_at, era)
+    pub(crate) fn adopt_site(&self, config: SiteConfig, read_at: TimePoint, era: u64) -> ConfigAdoption {
+        lock(&self.site).adopt(config, read_at, era)
     }
 
     pub(crate) fn confirm_site(&self, at: TimePoint) {
--- a/crates/hollyhook_gateway/src/store/endpoint_watch.rs
+++ b/crates/hollyhook_gateway/src/store/endpoint_watch.rs
@@ -123,7 +123,7 @@
         if is_first {
             return;
         }
-        lock(&self.membership).platform_older(self.context.timer.now());
+        lock(&self.membership).platform_rolled_back(self.context.timer.now());
         tracing::warn!(
             era = news.revision.era,
             revision = news.revision.number,
@@ -145,7 +145,7 @@
 
     /// Believes the entries that are still there when those would have gone that nobody renews.
     fn settle_doubtful(&mut self) {
-        if self.doubtful.is_empty() || lock(&self.membership).is_doubtful(self.context.timer.now()) {
+        if self.doubtful.is_empty() || lock(&self.membership).is_list_suspect(self.context.timer.now()) {
             return;
         }
         for object in std::mem::take(&mut self.doubtful).into_values() {
@@ -158,7 +158,7 @@
             return;
         };
         self.back_at = Some(at);
-        lock(&self.membership).platform_back(at);
+        lock(&self.membership).platform_recovered(at);
         // By itself, since the next watch may wait for longer than a leaving endpoint may still get work.
         task::spawn(forget_when_due(Arc::clone(&self.context), Arc::clone(&self.membership), at));
     }
@@ -182,7 +182,7 @@
                 self.doubtful.insert(Name::clone(&object.name), object.clone());
             }
             Ok(mut record) => {
-                lock(&self.membership).present(&record.entry);
+                lock(&self.membership).mark_present(&record.entry);
                 self.malformed.remove(&record.entry);
                 self.doubtful.remove(&record.entry);
                 record.registered.era = self.began.era;
@@ -200,7 +200,7 @@
     }
 
     fn miss(&mut self, entry: &Name) {
-        let is_gone = lock(&self.membership).is_gone(self.context.timer.now(), entry);
+        let is_gone = lock(&self.membership).mark_missing(self.context.timer.now(), entry);
         if is_gone {
             self.context.endpoints.forget_entry(entry, "removed");
         } else {
@@ -231,9 +231,9 @@
 
 /// Forgets the entries that did not come back after the store's return, when that is certain.
 async fn forget_when_due(context: Arc<GatewayContext>, membership: Arc<Mutex<EndpointMembership>>, back_at: TimePoint) {
-    let due = back_at + EndpointMembership::RETURN_GRACE;
+    let due = back_at + EndpointMembership::RECOVERY_GRACE;
     context.timer.wait(due.since(context.timer.now())).await;
-    let lapsed = lock(&membership).lapsed(context.timer.now());
+    let lapsed = lock(&membership).take_expired(context.timer.now());
     for entry in lapsed {
         context.endpoints.forget_entry(&entry, "lapsed");
     }
--- a/crates/hollyhook_gateway/src/store/quarantine_writer.rs
+++ b/crates/hollyhook_gateway/src/store/quarantine_writer.rs
@@ -57,7 +57,7 @@
 
     /// Reads the entry and writes what is missing there; so what became of an earlier write without an answer is seen too.
     async fn write(&mut self) -> Result<(), StoreError> {
-        let name = self.context.endpoints.noting_entry().ok_or(StoreError::Away("no endpoint is registered"))?;
+        let name = self.context.endpoints.crash_record_entry().ok_or(StoreError::Away("no endpoint is registered"))?;
         let entry = self.client.read(ObjectKind::Endpoint, &name).await?;
         self.context.quarantine.read_entry(&entry);
         let Some(records) = self.untold() else {
--- a/crates/hollyhook_gateway/src/store/site_watch.rs
+++ b/crates/hollyhook_gateway/src/store/site_watch.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollyhook_core::{PlanAdoption, TimePoint};
+use hollyhook_core::{ConfigAdoption, TimePoint};
 use hollyhook_platform::{ObjectKind, StoreObject};
 
 use super::{FeedReader, StoreError};
@@ -56,10 +56,10 @@
 
     fn adopt(&self, object: &StoreObject, read_at: TimePoint, era: u64) {
         match hollyhook_platform::decode_site(object) {
-            Ok(Some(plan)) => {
-                let version = plan.version;
-                let adoption = self.context.adopt_site(plan, read_at, era);
-                if adoption != PlanAdoption::Same {
+            Ok(Some(config)) => {
+                let version = config.version;
+                let adoption = self.context.adopt_site(config, read_at, era);
+                if adoption != ConfigAdoption::Same {
                     tracing::info!(version, revision = object.revision, adoption = ?adoption, "site.read");
                 }
             }
