--- a/crates/hollyhook_core/src/route/endpoint_membership.rs
+++ b/crates/hollyhook_core/src/route/endpoint_membership.rs
@@ -4,10 +4,11 @@
 use super::EndpointState;
 use crate::{EndpointId, TimePoint};
 
-/// Which endpoints are members, as far as the platform's list can be believed.
+/// Decides when an endpoint whose entry is missing from the platform's list is removed, and which entries are outdated.
 ///
-/// Entries may lapse while the platform is away, although their endpoints live. What is missing just after its return
-/// is therefore kept for a grace time and forgotten only then. Otherwise a missing entry is gone at once.
+/// Entries may expire during an outage of the platform although their endpoints are alive. An entry that is missing
+/// just after the platform has recovered is therefore kept for a grace period. At other times, a missing entry is
+/// removed at once.
 ///
 /// ```
 /// use hollyhook_core::{EndpointMembership, TimePoint};
@@ -21,84 +22,88 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct EndpointMembership {
-    back_at: Option<TimePoint>,
-    /// Missing entries and when they are taken as gone.
+    /// When the platform last recovered from an outage, which started the grace period of missing entries.
+    grace_start: Option<TimePoint>,
+    /// Missing entries that are kept for now, and when they are removed.
     missing: BTreeMap<EndpointId, TimePoint>,
-    /// When entries went, of those that went lately.
-    gone: BTreeMap<EndpointId, TimePoint>,
-    /// Until when what an older copy of the platform's list holds may be gone.
-    relics_until: TimePoint,
+    /// Recently removed entries, and when each was removed.
+    removed: BTreeMap<EndpointId, TimePoint>,
+    /// Until when the list may contain entries of endpoints that left after the platform's older copy was made.
+    suspect_until: TimePoint,
 }
 
 impl EndpointMembership {
-    /// How long after the platform's return an entry that lapsed meanwhile may take to come back.
+    /// The time after the platform's recovery within which endpoints restore entries that expired during the outage.
     ///
-    /// The platform states about two seconds; the quarter more is for the read that shows it.
+    /// The platform states about two seconds; the other 250 ms are for the read that returns the restored entry.
     pub const RECOVERY_GRACE: Duration = Duration::from_millis(2_250);
 
-    /// How long an entry stays in the platform's list that nobody renews: three heartbeats and what the list lags behind.
-    const RELIC_TIME: Duration = Duration::from_secs(5);
-    /// How long it is remembered that an entry went; copies from which the platform comes back are some seconds old.
-    const GONE_KEPT: Duration = Duration::from_mins(1);
+    /// How long an entry that is not renewed stays in the platform's list: three heartbeats and the lag of the list.
+    const UNRENEWED_ENTRY_LIFETIME: Duration = Duration::from_secs(5);
+    /// How long removals of entries are remembered; the copies that the platform is restored from are some seconds old.
+    const REMOVAL_RETENTION: Duration = Duration::from_mins(1);
 
-    /// Notes that the platform came back from an older copy of itself: entries in it may be of endpoints that left since.
+    /// Records that the platform was restored from an older copy, which may contain entries of endpoints that have left
+    /// since.
     pub fn platform_rolled_back(&mut self, now: TimePoint) {
-        self.relics_until = now + Self::RELIC_TIME;
+        self.suspect_until = now + Self::UNRENEWED_ENTRY_LIFETIME;
     }
 
-    /// Whether what the list says of an endpoint may be of before, which the list shows only by chance.
+    /// Whether the list may still contain outdated entries from the older copy that the platform was restored from.
     ///
-    /// Who lives renews its entry, and it stays; who left does not, and it goes.
+    /// Endpoints that are alive renew their entries, which stay in the list; the entries of those that left expire.
     pub fn is_list_suspect(&self, now: TimePoint) -> bool {
-        now < self.relics_until
+        now < self.suspect_until
     }
 
-    /// Whether an entry that nobody has written since the platform came back from an older copy says less than what is known:
-    /// its endpoint has left, or is `known` to leave and is said to be live.
+    /// Whether an entry that was not written since the platform was restored from an older copy is outdated: its
+    /// endpoint has left, or its `known` state is leaving while the entry says that it is live.
     pub fn is_outdated(
         &self,
         now: TimePoint,
         id: &EndpointId,
         known: Option<EndpointState>,
-        told: EndpointState,
+        listed: EndpointState,
     ) -> bool {
-        let is_back = known == Some(EndpointState::Leaving) && told == EndpointState::Live;
-        self.is_list_suspect(now) && (is_back || self.gone.contains_key(id))
+        let is_state_older = known == Some(EndpointState::Leaving) && listed == EndpointState::Live;
+        self.is_list_suspect(now) && (is_state_older || self.removed.contains_key(id))
     }
 
-    fn note_gone(&mut self, now: TimePoint, id: &EndpointId) {
-        self.gone.retain(|_, at| now.since(*at) < Self::GONE_KEPT);
-        self.gone.insert(EndpointId::clone(id), now);
+    fn add_removal(&mut self, now: TimePoint, id: &EndpointId) {
+        self.removed.retain(|_, at| now.since(*at) < Self::REMOVAL_RETENTION);
+        self.removed.insert(EndpointId::clone(id), now);
     }
 
-    /// Notes that the platform answers again after it did not; what is missing has its grace time from `at` on.
+    /// Records that the platform answers again after an outage; the grace period of missing entries begins at `at`.
     pub fn platform_recovered(&mut self, at: TimePoint) {
-        self.back_at = Some(at);
+        self.grace_start = Some(at);
     }
 
-    /// Whether an endpoint whose entry is missing is to be forgotten now; if not, [`take_expired`](Self::take_expired) tells when.
+    /// Records that the entry of an endpoint is missing, and returns whether the endpoint is to be removed now.
+    ///
+    /// If not, [`take_expired`](Self::take_expired) returns the endpoint once its grace period has ended.
     pub fn mark_missing(&mut self, now: TimePoint, id: &EndpointId) -> bool {
-        let Some(back_at) = self.back_at.filter(|at| now.since(*at) < Self::RECOVERY_GRACE) else {
-            self.note_gone(now, id);
+        let Some(grace_start) = self.grace_start.filter(|at| now.since(*at) < Self::RECOVERY_GRACE) else {
+            self.add_removal(now, id);
             return true;
         };
-        self.missing.entry(EndpointId::clone(id)).or_insert(back_at + Self::RECOVERY_GRACE);
+        self.missing.entry(EndpointId::clone(id)).or_insert(grace_start + Self::RECOVERY_GRACE);
         false
     }
 
-    /// Notes that an entry is there.
+    /// Records that the entry of an endpoint is in the list.
     pub fn mark_present(&mut self, id: &EndpointId) {
         self.missing.remove(id);
-        self.gone.remove(id);
+        self.removed.remove(id);
     }
 
-    /// The endpoints whose grace time is over; each is returned once.
+    /// Removes and returns the endpoints whose grace period has ended.
     pub fn take_expired(&mut self, now: TimePoint) -> Vec<EndpointId> {
         let due = self.missing.iter().filter(|(_, at)| **at <= now).map(|(id, _)| EndpointId::clone(id));
         let due: Vec<EndpointId> = due.collect();
         for id in &due {
             self.missing.remove(id);
-            self.note_gone(now, id);
+            self.add_removal(now, id);
         }
         due
     }
--- a/crates/hollyhook_core/src/route/endpoint_record.rs
+++ b/crates/hollyhook_core/src/route/endpoint_record.rs
@@ -8,62 +8,65 @@
 use super::failure_record::FailureRecord;
 use crate::{EndpointId, EndpointRhythm, ModelBinding, Name, StoreRevision, TimePoint, ZoneName};
 
-/// Whether an endpoint gets new work.
+/// Whether an endpoint receives new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointState {
-    /// It gets work.
+    /// The endpoint receives new requests.
     Live,
-    /// It finishes what it has and gets nothing new.
+    /// The endpoint finishes its open requests and receives no new ones.
     Leaving,
 }
 
-/// What an endpoint last said of its load, some time ago.
+/// The load that an endpoint last reported, some time ago.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests being decoded.
+    /// The number of requests being decoded.
     pub running: u32,
-    /// Requests waiting for a place in the batch.
+    /// The number of requests waiting for a slot in the batch.
     pub waiting: u32,
-    /// Places in the batch.
+    /// The number of slots in the batch.
     pub capacity: u32,
 }
 
-/// One endpoint as this host knows it.
+/// What this host knows about one endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointRecord {
-    /// Its name; another one at each start, so that nothing learnt of an earlier start is used for a later one.
+    /// The endpoint's identifier; each incarnation that reports its start time has its own, so that state of an earlier
+    /// incarnation is not applied to a later one.
     pub id: EndpointId,
-    /// The name that it registers under, and answers to; the same at each start where the platform lets it be.
+    /// The name that the endpoint registers under and answers to; it survives restarts if the platform allows that.
     pub entry: Name,
-    /// The Unix millisecond of its start; none if it does not say.
+    /// The Unix time of the endpoint's start in milliseconds; `None` if the endpoint does not report it.
     pub started: Option<u64>,
-    /// Its service.
+    /// The service that the endpoint belongs to.
     pub service: Name,
-    /// The version of its software; empty if it does not say.
+    /// The version of the endpoint's software; empty if the endpoint does not report it.
     pub version: Name,
-    /// Its availability zone.
+    /// The endpoint's availability zone.
     pub zone: ZoneName,
-    /// Where it listens.
+    /// The address that the endpoint listens on.
     pub address: SocketAddr,
-    /// Orders registrations: of two with one address, the later one is there.
+    /// The store revision of the registration; of two registrations of one address, the later one is in use.
     pub registered: StoreRevision,
-    /// The weights that it serves; none for a plain service.
+    /// The model weights that the endpoint serves; `None` for a plain service.
     pub binding: Option<ModelBinding>,
-    /// Whether it gets new work.
+    /// Whether the endpoint receives new requests.
     pub state: EndpointState,
-    /// Its last load report and when it arrived.
+    /// The endpoint's last load report.
     pub load: LoadReport,
-    /// Requests that this host has open there.
+    /// The number of requests that this host has open at the endpoint.
     pub open: u32,
-    /// Requests that this host opened there since the last load report.
+    /// The number of requests that this host sent since the last load report, less those that have ended since.
     pub sent_since_report: u32,
-    /// Requests that this host sent there within the last [`MAX_REPORT_AGE`](super::MAX_REPORT_AGE), as of when it was chosen.
-    pub sent_lately: u32,
-    /// Its usual gaps, over all streams of this host.
+    /// The number of requests that this host sent within the last [`MAX_REPORT_AGE`](super::MAX_REPORT_AGE) before this
+    /// copy of the record was made; zero in the table itself.
+    pub sent_recently: u32,
+    /// The usual gaps between events in the endpoint's streams, measured over all streams of this host.
     pub rhythm: EndpointRhythm,
-    /// The failures of its own among its answers.
+    /// The share of the endpoint's answers that were failures of its own.
     pub(super) errors: FailureRecord,
+    /// When this host sent its most recent requests.
     pub(super) sends: VecDeque<TimePoint>,
     pub(super) failures: u32,
     pub(super) ejected_until: TimePoint,
@@ -73,7 +76,7 @@
     const FIRST_EJECTION: Duration = Duration::from_millis(500);
     const MAX_EJECTION_DOUBLINGS: u32 = 5;
 
-    /// A live endpoint of which nothing more is known yet.
+    /// A live endpoint without a load report, model weights or a software version.
     pub fn new(id: EndpointId, service: Name, zone: ZoneName, address: SocketAddr) -> Self {
         Self {
             entry: Name::clone(&id),
@@ -89,7 +92,7 @@
             load: LoadReport::default(),
             open: 0,
             sent_since_report: 0,
-            sent_lately: 0,
+            sent_recently: 0,
             sends: VecDeque::new(),
             rhythm: EndpointRhythm::default(),
             errors: FailureRecord::default(),
@@ -98,28 +101,28 @@
         }
     }
 
-    /// The same endpoint with the weights that it serves.
+    /// Sets the model weights that the endpoint serves.
     #[must_use]
     pub fn binding(mut self, binding: ModelBinding) -> Self {
         self.binding = Some(binding);
         self
     }
 
-    /// The same endpoint with the version of its software.
+    /// Sets the version of the endpoint's software.
     #[must_use]
     pub fn version(mut self, version: Name) -> Self {
         self.version = version;
         self
     }
 
-    /// The same endpoint with room for that many typical requests at a time.
+    /// Sets how many typical requests the endpoint can process at a time.
     #[must_use]
-    pub fn capacity(mut self, places: u32) -> Self {
-        self.load.capacity = places;
+    pub fn capacity(mut self, slots: u32) -> Self {
+        self.load.capacity = slots;
         self
     }
 
-    /// The same endpoint as one start of what registers as `entry`.
+    /// Makes this the incarnation of the endpoint registered as `entry` that started at `started`.
     #[must_use]
     pub fn incarnation_of(mut self, entry: Name, started: Option<u64>) -> Self {
         self.entry = entry;
@@ -127,55 +130,55 @@
         self
     }
 
-    /// Whether the other is what stood here before this one: the same name or address, registered or started earlier.
-    pub(super) fn follows(&self, other: &Self) -> bool {
+    /// Whether this record replaces `other`: it has the same entry name or address and was registered or started later.
+    pub(super) fn supersedes(&self, other: &Self) -> bool {
         let is_same_place = self.address == other.address || self.entry == other.entry;
         let is_later = (other.registered, other.started) < (self.registered, self.started);
         self.id != other.id && is_same_place && is_later
     }
 
-    /// The load to expect: what was reported, and what this host has sent since.
+    /// The expected load in requests per slot: the reported requests and those that this host has sent since.
     ///
-    /// In requests a place; the number of places is that of its last report unless `places` gives another, and a
-    /// report without a capacity counts as one place.
-    pub fn pressure(&self, places: Option<u32>) -> f64 {
+    /// The number of slots is the reported capacity unless `slots` is given; a capacity of zero counts as one slot.
+    pub fn pressure(&self, slots: Option<u32>) -> f64 {
         let reported = self.load.running + self.load.waiting;
         let expected = (reported + self.sent_since_report).max(self.open);
-        f64::from(expected) / f64::from(places.unwrap_or(self.load.capacity).max(1))
+        f64::from(expected) / f64::from(slots.unwrap_or(self.load.capacity).max(1))
     }
 
-    /// Whether it is left out after failures.
+    /// Whether the endpoint is ejected after failures, so that requests go to other endpoints.
     pub fn is_ejected(&self, now: TimePoint) -> bool {
         now < self.ejected_until
     }
 
-    pub(super) fn fail(&mut self, now: TimePoint) {
+    pub(super) fn add_failure(&mut self, now: TimePoint) {
         let doublings = self.failures.min(Self::MAX_EJECTION_DOUBLINGS);
         self.failures += 1;
         self.ejected_until = now + Self::FIRST_EJECTION * 2_u32.pow(doublings);
     }
 
-    pub(super) fn send(&mut self, now: TimePoint) {
-        self.forget_sends(now);
+    pub(super) fn add_send(&mut self, now: TimePoint) {
+        self.expire_sends(now);
         self.sends.push_back(now);
-        self.errors.send(now);
+        self.errors.add_send(now);
     }
 
-    /// The record with the sends that no report of it can show yet.
+    /// A copy of the record in which `sent_recently` counts the requests sent so recently that no load report shows
+    /// them.
     pub(super) fn as_of(&self, now: TimePoint) -> Self {
         let mut record = self.clone();
-        record.forget_sends(now);
-        record.sent_lately = record.sends.len() as u32;
+        record.expire_sends(now);
+        record.sent_recently = record.sends.len() as u32;
         record
     }
 
-    fn forget_sends(&mut self, now: TimePoint) {
+    fn expire_sends(&mut self, now: TimePoint) {
         while self.sends.front().is_some_and(|sent| now.since(*sent) > MAX_REPORT_AGE) {
             self.sends.pop_front();
         }
     }
 
-    pub(super) fn succeed(&mut self) {
+    pub(super) fn clear_failures(&mut self) {
         self.failures = 0;
         self.ejected_until = TimePoint::ZERO;
     }
--- a/crates/hollyhook_core/src/route/endpoint_subset.rs
+++ b/crates/hollyhook_core/src/route/endpoint_subset.rs
@@ -4,11 +4,11 @@
 use super::rendezvous::rendezvous_weight;
 use crate::{EndpointId, ZoneName};
 
-/// The endpoints of one service that a host keeps to, so that its cost does not grow with the fleet.
+/// Chooses the subset of a service's endpoints that a host uses, so that the host's cost does not grow with the fleet.
 ///
-/// Half are of the host's own zone and half of the others, in equal parts, so that the loss of any zone leaves it some.
-/// Within a zone the host takes those that rendezvous hashing ranks first for its name: every host another few, always
-/// the same ones while the fleet stays, and few other ones when it changes.
+/// Half of the subset is in the host's own zone and half in the other zones, in equal parts, so that the host keeps
+/// some endpoints if any zone is lost. Within a zone, the host uses the endpoints that rendezvous hashing ranks first
+/// for its name: each host uses different ones, and few of them change when the fleet changes.
 ///
 /// ```
 /// use hollyhook_core::EndpointSubset;
@@ -25,24 +25,24 @@
 }
 
 impl<'a> EndpointSubset<'a> {
-    /// Endpoints of one service that a host keeps to unless told otherwise.
+    /// The default maximum number of endpoints in a subset.
     ///
-    /// With 1,000 hosts before 10,000 endpoints each endpoint is then in the subsets of about 13 hosts.
+    /// With 1,000 hosts and 10,000 endpoints, each endpoint is then in the subsets of about 13 hosts.
     pub const LIMIT: usize = 128;
 
-    /// The subset for a host in a zone.
+    /// The subset of a host in a zone, with the default limit.
     pub fn new(host: &'a str, zone: &'a str) -> Self {
         Self { host, zone, limit: Self::LIMIT }
     }
 
-    /// Another limit.
+    /// Sets the maximum number of endpoints.
     #[must_use]
     pub fn limit(mut self, endpoints: usize) -> Self {
         self.limit = endpoints;
         self
     }
 
-    /// Chooses among the endpoints of one service; all of them if they are no more than the limit.
+    /// Chooses from the endpoints of one service; returns all of them if there are no more than the limit.
     pub fn choose(&self, fleet: impl IntoIterator<Item = (EndpointId, ZoneName)>) -> Vec<EndpointId> {
         let mut zones: BTreeMap<ZoneName, Vec<EndpointId>> = BTreeMap::new();
         for (endpoint, zone) in fleet {
@@ -51,11 +51,11 @@
         for endpoints in zones.values_mut() {
             endpoints.sort_by_cached_key(|endpoint| Reverse(rendezvous_weight(self.host.as_bytes(), endpoint)));
         }
-        self.deal(zones)
+        self.alternate(zones)
     }
 
-    /// Deals places to the own zone and the others in turn, until the limit or the fleet is reached.
-    fn deal(&self, zones: BTreeMap<ZoneName, Vec<EndpointId>>) -> Vec<EndpointId> {
+    /// Takes endpoints alternately from the own zone and the other zones, until the limit is reached or none are left.
+    fn alternate(&self, zones: BTreeMap<ZoneName, Vec<EndpointId>>) -> Vec<EndpointId> {
         let (own, others): (Vec<_>, Vec<_>) = zones.into_iter().partition(|(zone, _)| **zone == *self.zone);
         let mut own = own.into_iter().flat_map(|(_, endpoints)| endpoints);
         let mut others = interleave(others.into_iter().map(|(_, endpoints)| endpoints).collect()).into_iter();
@@ -74,6 +74,7 @@
     }
 }
 
+/// Merges lists by taking one item of each in turn.
 fn interleave(lists: Vec<Vec<EndpointId>>) -> Vec<EndpointId> {
     let mut lists: Vec<_> = lists.into_iter().map(Vec::into_iter).collect();
     let mut joined = Vec::new();
--- a/crates/hollyhook_core/src/route/endpoint_table.rs
+++ b/crates/hollyhook_core/src/route/endpoint_table.rs
@@ -1,64 +1,67 @@
 use std::collections::BTreeMap;
 
-use super::name_set::NameSet;
-use super::place_index::PlaceIndex;
+use super::name_interner::NameInterner;
+use super::registration_index::RegistrationIndex;
 use super::rendezvous::rendezvous_weight;
 use super::ring_index::RingIndex;
-use super::zone_trouble::ZoneTrouble;
+use super::zone_failures::ZoneFailures;
 use super::{EndpointRecord, EndpointState, LoadReport};
 use crate::{EndpointId, Name, TermsLedger, TimePoint, ZoneName};
 
-/// By this name hosts choose the entry for their notes.
-const NOTES: &[u8] = b"notes";
+/// Hash key by which hosts choose the entry for crash records.
+const CRASH_RECORD_KEY: &[u8] = b"notes";
 
-/// How much fuller, in requests a place, the own zone may be before another one pays.
+/// Default cost of an endpoint of another zone, in requests per slot.
 const ZONE_PREFERENCE: f64 = 0.25;
-/// The endpoints that this host knows; see [`choose`](Self::choose) for the choice among them.
+/// The endpoints that this host knows; [`choose`](Self::choose) selects one of them for a request.
 #[derive(Debug)]
 pub struct EndpointTable {
     pub(super) zone: ZoneName,
     pub(super) zone_preference: f64,
-    /// Boxed, since the map keeps up to half of its places free.
+    /// Boxed, since up to half of the slots in the map's tree nodes are unused.
     pub(super) records: BTreeMap<EndpointId, Box<EndpointRecord>>,
-    places: PlaceIndex,
+    registrations: RegistrationIndex,
     pub(super) rings: RingIndex,
-    names: NameSet,
-    pub(super) troubles: BTreeMap<ZoneName, ZoneTrouble>,
+    names: NameInterner,
+    pub(super) zone_failures: BTreeMap<ZoneName, ZoneFailures>,
     pub(super) terms: TermsLedger,
 }
 
 impl EndpointTable {
-    /// A table for a host in that availability zone.
+    /// An empty table for a host in the given availability zone.
     pub fn new(zone: ZoneName) -> Self {
         Self {
             zone,
             zone_preference: ZONE_PREFERENCE,
             records: BTreeMap::new(),
-            places: PlaceIndex::default(),
+            registrations: RegistrationIndex::default(),
             rings: RingIndex::default(),
-            names: NameSet::default(),
-            troubles: BTreeMap::new(),
+            names: NameInterner::default(),
+            zone_failures: BTreeMap::new(),
             terms: TermsLedger::default(),
         }
     }
 
-    /// The same table with how much fuller, in requests a place, the own zone may be before another one pays.
+    /// Sets the cost of an endpoint of another zone: by how much the load in the own zone may exceed that of other
+    /// zones, in requests per slot.
     #[must_use]
     pub fn zone_preference(mut self, preference: f64) -> Self {
         self.zone_preference = preference;
         self
     }
 
-    /// Adds an endpoint, or updates where it is and whether it gets work; what was learnt of it stays. Returns it as it is now.
+    /// Adds an endpoint or updates its service, state, weights and version, and returns its record.
     ///
-    /// Its own word that it leaves goes before its entry, which may be older, and before one that comes back.
+    /// Its load and failures are kept if its address is unchanged; otherwise the new record replaces the old one. An
+    /// endpoint that announced that it is leaving stays in that state: its entry may be older, or be restored from an
+    /// older copy.
     pub fn upsert(&mut self, mut record: EndpointRecord) -> &EndpointRecord {
         let id = EndpointId::clone(&record.id);
         if self.terms.is_leaving(&id) {
             record.state = EndpointState::Leaving;
         }
         for name in [&mut record.service, &mut record.version, &mut record.zone] {
-            self.names.share(name);
+            self.names.intern(name);
         }
         match self.records.get_mut(&id) {
             Some(known) if known.address == record.address => {
@@ -73,7 +76,7 @@
             }
             _ => {
                 self.remove(&id);
-                self.places.add(&record);
+                self.registrations.add(&record);
                 self.rings.add(&record);
                 self.records.insert(EndpointId::clone(&id), Box::new(record));
             }
@@ -81,7 +84,7 @@
         &self.records[&id]
     }
 
-    /// Takes in that an endpoint says itself that it leaves; tells whether it got work until then.
+    /// Records that an endpoint announced that it is leaving, and returns whether it was live until now.
     pub fn mark_leaving(&mut self, now: TimePoint, id: &EndpointId) -> bool {
         self.terms.leave(now, id);
         let Some(record) = self.records.get_mut(id).filter(|record| record.state == EndpointState::Live) else {
@@ -91,75 +94,76 @@
         true
     }
 
-    /// The endpoints that a registration shows to be gone: those that registered the same address earlier, and earlier
-    /// starts of the same one.
+    /// The endpoints that a registration proves to be gone: earlier registrations of its address, and earlier starts of
+    /// its entry.
     ///
-    /// Their entries lapse only seconds later, and until then whoever is at the address answers in their place.
+    /// Their entries expire only seconds later; until then, the endpoint that now listens at their address would answer
+    /// in their place.
     pub fn displaced_by(&self, record: &EndpointRecord) -> Vec<EndpointId> {
-        let earlier = self.beside(record).filter(|known| record.follows(known));
+        let earlier = self.same_entry_or_address(record).filter(|known| record.supersedes(known));
         earlier.map(|known| EndpointId::clone(&known.id)).collect()
     }
 
-    /// Whether a later registration, of a service that `is_known`, stands in the place of this one.
+    /// Whether a later registration of the same entry or address, for a service that `is_known`, has replaced this one.
     pub fn is_displaced(&self, record: &EndpointRecord, is_known: impl Fn(&str) -> bool) -> bool {
-        self.beside(record).any(|known| known.follows(record) && is_known(&known.service))
+        self.same_entry_or_address(record).any(|known| known.supersedes(record) && is_known(&known.service))
     }
 
-    /// The endpoints that share the name or the address of a registration.
-    fn beside(&self, record: &EndpointRecord) -> impl Iterator<Item = &EndpointRecord> {
-        self.places.beside(record).into_iter().filter_map(|id| self.get(id))
+    /// The endpoints with the entry name or the address of a registration.
+    fn same_entry_or_address(&self, record: &EndpointRecord) -> impl Iterator<Item = &EndpointRecord> {
+        self.registrations.same_entry_or_address(record).into_iter().filter_map(|id| self.get(id))
     }
 
-    /// The endpoints that registered under a name.
+    /// The endpoints that registered under an entry name.
     pub fn registered_as(&self, entry: &str) -> Vec<EndpointId> {
-        self.places.registered_as(entry).map(EndpointId::clone).collect()
+        self.registrations.registered_as(entry).map(EndpointId::clone).collect()
     }
 
-    /// Forgets one endpoint.
+    /// Removes an endpoint.
     pub fn remove(&mut self, id: &str) {
         if let Some(record) = self.records.remove(id) {
-            self.unlist(&record);
+            self.remove_from_indexes(&record);
         }
     }
 
-    /// Forgets every endpoint that is not among those.
+    /// Removes every endpoint for which `is_known` returns false.
     pub fn retain(&mut self, is_known: impl Fn(&EndpointId) -> bool) {
         let gone: Vec<_> = self.records.extract_if(.., |id, _| !is_known(id)).collect();
         for (_, record) in &gone {
-            self.unlist(record);
+            self.remove_from_indexes(record);
         }
     }
 
-    fn unlist(&mut self, record: &EndpointRecord) {
-        self.places.remove(record);
+    fn remove_from_indexes(&mut self, record: &EndpointRecord) {
+        self.registrations.remove(record);
         self.rings.remove(record);
     }
 
-    /// One endpoint.
+    /// The record of an endpoint.
     pub fn get(&self, id: &str) -> Option<&EndpointRecord> {
         self.records.get(id).map(|record| &**record)
     }
 
-    /// One endpoint, with the sends that no report of it can show yet.
+    /// A copy of an endpoint's record in which `sent_recently` is up to date.
     pub fn as_of(&self, now: TimePoint, id: &str) -> Option<EndpointRecord> {
         self.records.get(id).map(|record| record.as_of(now))
     }
 
-    /// One endpoint, to learn something of it.
+    /// The record of an endpoint, for updates.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut EndpointRecord> {
         self.records.get_mut(id).map(|record| &mut **record)
     }
 
-    /// The terms on which endpoints take requests, to learn something of them.
+    /// The terms on which endpoints accept requests, for updates.
     pub fn terms_mut(&mut self) -> &mut TermsLedger {
         &mut self.terms
     }
 
-    /// The entry at which hosts note what all of them have to know: of the live endpoints, the same at all hosts that know the
-    /// same ones.
+    /// The entry in which hosts share crash records: that of a live endpoint, and the same at all hosts that know the
+    /// same live endpoints.
     pub fn crash_record_entry(&self) -> Option<Name> {
         let live = self.iter().filter(|record| record.state == EndpointState::Live);
-        let entry = live.map(|record| &record.entry).max_by_key(|entry| rendezvous_weight(NOTES, entry));
+        let entry = live.map(|record| &record.entry).max_by_key(|entry| rendezvous_weight(CRASH_RECORD_KEY, entry));
         entry.cloned()
     }
 
@@ -168,17 +172,17 @@
         self.records.len()
     }
 
-    /// Whether there are none.
+    /// Whether the table has no endpoints.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// All endpoints by name.
+    /// All endpoints, ordered by identifier.
     pub fn iter(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.records.values().map(|record| &**record)
     }
 
-    /// Takes a load report in.
+    /// Stores the load report of an endpoint.
     pub fn update_load(&mut self, id: &str, load: LoadReport) {
         if let Some(record) = self.records.get_mut(id) {
             record.load = load;
@@ -186,7 +190,7 @@
         }
     }
 
-    /// Counts a request as open at an endpoint, if that takes one now; tells whether it does.
+    /// Counts a request as open at an endpoint if the endpoint accepts one now, and returns whether it does.
     pub fn try_open(&mut self, now: TimePoint, id: &str) -> bool {
         let is_open = self.terms.try_send(now, id);
         if is_open {
@@ -198,7 +202,7 @@
     /// Counts a request as open at an endpoint.
     pub fn record_open(&mut self, now: TimePoint, id: &str) {
         if let Some(record) = self.records.get_mut(id) {
-            record.send(now);
+            record.add_send(now);
             record.open += 1;
             record.sent_since_report += 1;
         }
@@ -208,31 +212,32 @@
     pub fn record_close(&mut self, id: &str) {
         if let Some(record) = self.records.get_mut(id) {
             record.open = record.open.saturating_sub(1);
-            // Most of what ends was sent since the report; else a burst of quick requests would look like a load.
+            // Most requests that end were sent after the report; without this, a burst of short requests would look
+            // like load.
             record.sent_since_report = record.sent_since_report.saturating_sub(1);
         }
     }
 
-    /// Counts a failure of an endpoint, which leaves it out for a while.
+    /// Records a failure of an endpoint, which ejects the endpoint for a while.
     pub fn record_failure(&mut self, now: TimePoint, id: &str) {
         let Some(record) = self.records.get_mut(id) else {
             return;
         };
-        record.fail(now);
-        self.troubles.entry(ZoneName::clone(&record.zone)).or_default().add(now, &record.id);
+        record.add_failure(now);
+        self.zone_failures.entry(ZoneName::clone(&record.zone)).or_default().add(now, &record.id);
     }
 
-    /// Takes in whether an endpoint's answer was a failure of its own.
+    /// Records an endpoint's answer, and whether it was a failure of the endpoint itself.
     pub fn record_answer(&mut self, now: TimePoint, id: &str, is_failure: bool) {
         if let Some(record) = self.records.get_mut(id) {
-            record.errors.answer(now, is_failure);
+            record.errors.add_answer(now, is_failure);
         }
     }
 
-    /// Counts a success of an endpoint.
+    /// Records a success of an endpoint, which ends its ejection.
     pub fn record_success(&mut self, id: &str) {
         if let Some(record) = self.records.get_mut(id) {
-            record.succeed();
+            record.clear_failures();
         }
     }
 }
--- a/crates/hollyhook_core/src/route/mod.rs
+++ b/crates/hollyhook_core/src/route/mod.rs
@@ -1,6 +1,6 @@
-//! Choosing an endpoint from what this host knows.
+//! Tracks the endpoints that this host knows and chooses among them.
 
-mod copy_placement;
+mod backup_placement;
 mod endpoint_choice;
 mod endpoint_membership;
 mod endpoint_record;
@@ -8,15 +8,15 @@
 mod endpoint_table;
 mod engine_report;
 mod failure_record;
-mod name_set;
-mod place_index;
-mod prompt_holder;
+mod name_interner;
+mod prompt_placement;
+mod registration_index;
 mod rendezvous;
 mod ring_index;
 mod route_query;
-mod zone_trouble;
+mod zone_failures;
 
-pub use copy_placement::choose_backup_engine;
+pub use backup_placement::choose_backup_engine;
 pub use endpoint_membership::EndpointMembership;
 pub use endpoint_record::{EndpointRecord, EndpointState, LoadReport};
 pub use endpoint_subset::EndpointSubset;
@@ -25,6 +25,6 @@
     EngineCandidate, EngineReport, EngineRun, MAX_REPORT_AGE, choose_engine, excess_wait, is_certain_choice,
     time_to_first_event,
 };
-pub use prompt_holder::{HeldPromptPart, PromptPlacement, has_holder, place_held_prompt};
+pub use prompt_placement::{HeldPromptPart, PromptPlacement, has_holder, place_held_prompt};
 pub(crate) use rendezvous::rendezvous_weight;
 pub use route_query::{HolderLimits, RouteQuery};
--- a/crates/hollyhook_core/src/route/place_index.rs
+++ b/crates/hollyhook_core/src/route/registration_index.rs
@@ -4,17 +4,17 @@
 use super::EndpointRecord;
 use crate::{EndpointId, Name};
 
-/// Which endpoints registered under a name, and at an address.
+/// Finds endpoints by the name of their registration entry and by their address.
 ///
-/// Each registration that is read is compared with the others of its place. To look at all records for each
-/// would take the square of their number, seconds on small hosts for a first list of thousands.
+/// Each registration that is read is compared with those of the same entry or address. Comparing it with all records
+/// would take time quadratic in their number: seconds on small hosts for a first list of thousands.
 #[derive(Debug, Default)]
-pub(super) struct PlaceIndex {
+pub(super) struct RegistrationIndex {
     by_address: BTreeSet<(SocketAddr, EndpointId)>,
     by_entry: BTreeSet<(Name, EndpointId)>,
 }
 
-impl PlaceIndex {
+impl RegistrationIndex {
     pub(super) fn add(&mut self, record: &EndpointRecord) {
         self.by_address.insert((record.address, EndpointId::clone(&record.id)));
         self.by_entry.insert((Name::clone(&record.entry), EndpointId::clone(&record.id)));
@@ -25,7 +25,7 @@
         self.by_entry.remove(&(Name::clone(&record.entry), EndpointId::clone(&record.id)));
     }
 
-    /// Those that registered under a name.
+    /// The endpoints that registered under the entry name `entry`.
     pub(super) fn registered_as(&self, entry: &str) -> impl Iterator<Item = &EndpointId> + use<'_> {
         let entry = Name::from(entry);
         let from = (Name::clone(&entry), EndpointId::default());
@@ -33,8 +33,8 @@
         listed.map(|(_, id)| id)
     }
 
-    /// Those at the address of a record, or registered under its name, in the order of their names.
-    pub(super) fn beside(&self, record: &EndpointRecord) -> BTreeSet<&EndpointId> {
+    /// The endpoints at the address of a record or registered under its entry name, ordered by identifier.
+    pub(super) fn same_entry_or_address(&self, record: &EndpointRecord) -> BTreeSet<&EndpointId> {
         let address = record.address;
         let listed = self.by_address.range((address, EndpointId::default())..);
         let at_address = listed.take_while(|(known, _)| *known == address);
--- a/crates/hollyhook_core/src/route/ring_index.rs
+++ b/crates/hollyhook_core/src/route/ring_index.rs
@@ -5,12 +5,13 @@
 use super::rendezvous::rendezvous_weight;
 use crate::{EndpointId, Name, ZoneName};
 
-const POSITION: &[u8] = b"position";
+/// Key under which the ring position of an endpoint is hashed.
+const POSITION_KEY: &[u8] = b"position";
 
-/// The endpoints of each service and availability zone on a ring, by a hash of their names (consistent hashing).
+/// A hash ring of the endpoints of each service and availability zone (consistent hashing).
 ///
-/// From a number on, every host that knows the same endpoints meets them in the same order. So a choice looks at the few that
-/// follow the number, whatever the number of endpoints, and another host looks at the same few.
+/// All hosts that know the same endpoints find them in the same order from a given position. So a choice examines only
+/// the few endpoints that follow a position, however many there are, and all hosts examine the same few.
 #[derive(Debug, Default)]
 pub(super) struct RingIndex {
     rings: BTreeMap<Name, BTreeMap<ZoneName, EndpointRing>>,
@@ -22,7 +23,7 @@
     pub(super) fn add(&mut self, record: &EndpointRecord) {
         let zones = self.rings.entry(Name::clone(&record.service)).or_default();
         let ring = zones.entry(ZoneName::clone(&record.zone)).or_default();
-        ring.insert(place(&record.id));
+        ring.insert(ring_entry(&record.id));
     }
 
     pub(super) fn remove(&mut self, record: &EndpointRecord) {
@@ -32,7 +33,7 @@
         let Some(ring) = zones.get_mut(&record.zone) else {
             return;
         };
-        ring.remove(&place(&record.id));
+        ring.remove(&ring_entry(&record.id));
         if ring.is_empty() {
             zones.remove(&record.zone);
         }
@@ -47,15 +48,15 @@
         rings.flatten().map(|(_, id)| id)
     }
 
-    /// The endpoints of a service zone by zone, each zone's in the order in which they follow a number.
-    pub(super) fn after_number(
+    /// The endpoints of a service by zone, those of each zone in ring order from a position on.
+    pub(super) fn after_position(
         &self,
         service: &str,
-        number: u64,
+        position: u64,
     ) -> impl Iterator<Item = impl Iterator<Item = &EndpointId>> {
         let rings = self.rings.get(service).into_iter().flat_map(BTreeMap::values);
         rings.map(move |ring| {
-            let from = (number, EndpointId::default());
+            let from = (position, EndpointId::default());
             let later = ring.range(from.clone()..);
             let earlier = ring.range((Bound::Unbounded, Bound::Excluded(from)));
             later.chain(earlier).map(|(_, id)| id)
@@ -63,6 +64,6 @@
     }
 }
 
-fn place(id: &EndpointId) -> (u64, EndpointId) {
-    (rendezvous_weight(POSITION, id), EndpointId::clone(id))
+fn ring_entry(id: &EndpointId) -> (u64, EndpointId) {
+    (rendezvous_weight(POSITION_KEY, id), EndpointId::clone(id))
 }
--- a/crates/hollyhook_core/src/route/route_query.rs
+++ b/crates/hollyhook_core/src/route/route_query.rs
@@ -2,7 +2,7 @@
 use crate::rollout::VersionRule;
 use crate::{EndpointId, ModelBinding, ZoneName};
 
-/// What a request needs of an endpoint.
+/// The requirements and preferences of a request for its endpoint.
 #[derive(Debug, Clone)]
 pub struct RouteQuery<'a> {
     pub(super) service: &'a str,
@@ -32,63 +32,64 @@
         }
     }
 
-    /// The same query for exactly those weights.
+    /// Requires endpoints that serve exactly these model weights.
     #[must_use]
     pub fn binding(mut self, binding: &'a ModelBinding) -> Self {
         self.binding = Some(binding);
         self
     }
 
-    /// The same query without those endpoints.
+    /// Excludes endpoints, such as those that the request has already been sent to.
     #[must_use]
     pub fn avoid(mut self, avoid: &'a [EndpointId]) -> Self {
         self.avoid = avoid;
         self
     }
 
-    /// The same query without the endpoints of that zone.
+    /// Excludes the endpoints of a zone.
     #[must_use]
     pub fn avoid_zone(mut self, zone: &'a ZoneName) -> Self {
         self.avoid_zone = Some(zone);
         self
     }
 
-    /// The same query for which these go first among endpoints that cost about the same.
+    /// Prefers these endpoints among those of about the same cost.
     #[must_use]
     pub fn prefer(mut self, preferred: &'a [EndpointId]) -> Self {
         self.preferred = preferred;
         self
     }
 
-    /// The same query for endpoints of the versions that a rule allows.
+    /// Requires endpoints of versions that a rule allows.
     #[must_use]
     pub fn versions(mut self, rule: &'a VersionRule) -> Self {
         self.versions = Some(rule);
         self
     }
 
-    /// The same query for a request that can be tried again elsewhere if its first attempt fails.
+    /// Sets whether the request can be retried at another endpoint if its first attempt fails.
     #[must_use]
     pub fn repeatable(mut self, is_repeatable: bool) -> Self {
         self.is_repeatable = is_repeatable;
         self
     }
 
-    /// The same query that prefers the few endpoints which every host ranks first for this number.
+    /// Restricts the choice to the few endpoints that all hosts rank first for an affinity key.
     #[must_use]
-    pub fn affinity(mut self, number: u128) -> Self {
-        self.affinity = Some(number);
+    pub fn affinity(mut self, key: u128) -> Self {
+        self.affinity = Some(key);
         self
     }
 
-    /// The same query for a request of which an endpoint holds that many at a time.
+    /// Sets how many requests of this size an endpoint can process at a time.
     #[must_use]
     pub fn slots(mut self, slots: u32) -> Self {
         self.slots = Some(slots);
         self
     }
 
-    /// Whether its request may find out if an endpoint is well again: a first attempt that another one may follow.
+    /// Whether the request may be sent as a trial to an endpoint that failed: only a first attempt that can be retried
+    /// may.
     pub(super) fn may_be_trial(&self) -> bool {
         self.is_repeatable && self.avoid.is_empty()
     }
@@ -96,22 +97,22 @@
     pub(super) fn is_met_by(&self, record: &EndpointRecord) -> bool {
         let is_served = &*record.service == self.service;
         let is_bound = self.binding.is_none_or(|binding| record.binding.as_ref() == Some(binding));
-        let is_far = self.avoid_zone.is_none_or(|zone| record.zone != *zone);
-        let is_allowed = self.versions.is_none_or(|rule| rule.allows(&record.id, &record.version));
+        let is_zone_allowed = self.avoid_zone.is_none_or(|zone| record.zone != *zone);
+        let is_version_allowed = self.versions.is_none_or(|rule| rule.allows(&record.id, &record.version));
         is_served
             && is_bound
-            && is_far
-            && is_allowed
+            && is_zone_allowed
+            && is_version_allowed
             && record.state == EndpointState::Live
             && !self.avoid.contains(&record.id)
     }
 }
 
-/// How many endpoints are worth asking whether they hold a prompt.
+/// How many endpoints to query for a held prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HolderLimits {
-    /// Of the own zone, at most.
+    /// The maximum number of endpoints in the host's own zone.
     pub own_zone: usize,
-    /// Of each other zone, at most.
+    /// The maximum number of endpoints in each other zone.
     pub other_zone: usize,
 }
--- a/crates/hollyhook_core/src/site/mod.rs
+++ b/crates/hollyhook_core/src/site/mod.rs
@@ -1,4 +1,4 @@
-//! The site as its operator configured it: routes, services, client accounts, limits, and which version is in force.
+//! The site configuration written by the operator (routes, services, client accounts, limits) and the version in force.
 
 mod account_config;
 mod route_config;
--- a/crates/hollyhook_core/src/site/route_config.rs
+++ b/crates/hollyhook_core/src/site/route_config.rs
@@ -2,27 +2,27 @@
 
 use crate::Name;
 
-/// What may be repeated of a route's requests.
+/// Whether the requests of a route are plain calls or event streams, and whether they may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RequestKind {
     /// A plain call that may run more than once.
     Idempotent,
     /// A plain call that may run at most once.
     NonIdempotent,
-    /// An event stream; it may go on at another endpoint only if it is resumable.
+    /// An event stream; it may continue at another endpoint only if it is resumable.
     Stream {
-        /// Whether a new run may go on after the last event that the caller has.
+        /// Whether a new run may continue after the last event that the caller has received.
         is_resumable: bool,
     },
 }
 
 impl RequestKind {
-    /// Whether a request may be sent again after it may have run.
+    /// Whether a request that may already have run may be sent again.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { is_resumable: true })
     }
 
-    /// Whether the answer is a series of events.
+    /// Whether the answer is an event stream.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
@@ -33,44 +33,44 @@
 pub struct ServiceShare {
     /// The service's name.
     pub service: Name,
-    /// Its weight among the shares of the route.
+    /// The weight of this share relative to the other shares of the route.
     pub weight: u32,
 }
 
-/// One route: which requests it takes, where they go and what holds for them.
+/// One route: which requests it matches, which services they go to, and their time limits and priority.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteConfig {
-    /// Its name, for logs and metrics.
+    /// The route's name, for logs and metrics.
     pub name: Name,
-    /// The host that requests name, in lower case and without a port.
+    /// The host name that requests are addressed to, in lower case and without a port.
     pub host: Name,
-    /// The beginning of the path; starts and ends with a slash.
+    /// The prefix of the request path; starts and ends with a slash.
     pub prefix: Name,
-    /// What may be repeated.
+    /// Plain call or event stream, and whether a request may run more than once.
     pub kind: RequestKind,
-    /// How long a request may be kept waiting for its whole answer.
+    /// The longest time that a request may wait for its whole answer.
     pub timeout: Duration,
-    /// Time to the whole answer, or to the first event, that callers aim at.
+    /// The target time to the whole answer of a plain call, or to the first event of a stream.
     pub latency_objective: Duration,
-    /// The longest pause between two events of a stream that is still on time.
+    /// The longest gap between two events with which a stream still meets its target.
     pub gap_objective: Option<Duration>,
-    /// Endpoints at which one request may run.
+    /// The maximum number of endpoints at which one request may run.
     pub max_attempts: u32,
-    /// The rank of its requests, 0 first.
+    /// The priority of the route's requests, 0 being the highest.
     pub priority: u8,
-    /// Whether it takes requests without an API key.
+    /// Whether the route accepts requests without an API key.
     pub is_public: bool,
-    /// Where its requests go; at least one share.
+    /// The services that the route's requests are divided among; at least one share.
     pub shares: Vec<ServiceShare>,
 }
 
 impl RouteConfig {
-    /// Whether a request that fails at its first endpoint may be tried at another one.
+    /// Whether a request that fails at its first endpoint may be retried at another one.
     pub fn is_retryable(&self) -> bool {
         self.kind.is_repeatable() && self.max_attempts > 1
     }
 
-    /// The service for a request, given a number drawn from 0 up to the sum of the weights.
+    /// The service for a request, given a random number from 0 up to, but not including, the sum of the weights.
     ///
     /// ```
     /// # use hollyhook_core::{RequestKind, RouteConfig, ServiceShare};
@@ -104,7 +104,7 @@
         self.shares.last().map(|share| Name::clone(&share.service))
     }
 
-    /// The sum of the weights.
+    /// The sum of the weights of all shares.
     pub fn total_weight(&self) -> u32 {
         self.shares.iter().map(|share| share.weight).sum()
     }
--- a/crates/hollyhook_core/src/site/service_config.rs
+++ b/crates/hollyhook_core/src/site/service_config.rs
@@ -1,23 +1,23 @@
 use crate::Name;
 
-/// What a model engine holds in memory.
+/// The KV-cache memory of a model engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineMemory {
-    /// Tokens of prompts and output that fit at once.
+    /// The capacity in tokens, counting prompts and output.
     pub capacity_tokens: u64,
-    /// Whether an engine keeps the memory of another engine's run as a backup.
+    /// Whether an engine can keep a backup of the KV cache of a run at another engine.
     pub has_backups: bool,
-    /// Whether an engine copies the memory of a run to another engine on order.
+    /// Whether an engine copies the KV cache of a run to another engine on request.
     pub has_moves: bool,
 }
 
-/// One service.
+/// The configuration of one service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceConfig {
-    /// Its name.
+    /// The service's name.
     pub name: Name,
-    /// Connections that one endpoint takes from all hosts together.
+    /// The maximum number of connections that one endpoint accepts from all hosts together.
     pub max_connections: u32,
-    /// The memory of its engines; none for a plain service.
+    /// The memory of the service's engines; `None` for a plain service.
     pub engine: Option<EngineMemory>,
 }
--- a/crates/hollyhook_core/src/site/site_config.rs
+++ b/crates/hollyhook_core/src/site/site_config.rs
@@ -2,21 +2,21 @@
 
 use super::{AccountConfig, RouteConfig, ServiceConfig};
 
-/// What callers may send and how long they may take.
+/// Limits on the size of requests and on the time that callers may take to send them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// The maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// How long the head may take to arrive.
+    /// The maximum time for a request head to arrive.
     pub head_timeout: Duration,
-    /// How long a connection may be idle between requests.
+    /// The maximum time that a connection may be idle between requests.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// What holds until a configuration is known; wide enough to tell callers to come back.
+    /// The limits in force until a configuration is known, large enough to tell callers to retry later.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1_024,
@@ -27,17 +27,17 @@
     }
 }
 
-/// One version of the configuration, in full.
+/// One complete version of the site configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SiteConfig {
-    /// Grows with each change, in uneven steps.
+    /// The version number, which grows with each change, not necessarily by one.
     pub version: u64,
     /// All routes.
     pub routes: Vec<RouteConfig>,
     /// All services.
     pub services: Vec<ServiceConfig>,
-    /// All client accounts; none if the site has no keys at all.
+    /// All client accounts; `None` if the site uses no API keys.
     pub accounts: Option<Vec<AccountConfig>>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: CallerLimits,
 }
--- a/crates/hollyhook_core/src/site/site_index.rs
+++ b/crates/hollyhook_core/src/site/site_index.rs
@@ -4,7 +4,7 @@
 use super::{AccountConfig, CallerLimits, RouteConfig, ServiceConfig, SiteConfig};
 use crate::{Error, ErrorKind, Name, Result};
 
-/// One version of the configuration, arranged for lookups.
+/// One version of the site configuration, indexed for lookups.
 #[derive(Debug)]
 pub struct SiteIndex {
     version: u64,
@@ -12,17 +12,17 @@
     /// Routes by host, longest prefix first.
     routes: HashMap<Name, Vec<Arc<RouteConfig>>>,
     services: HashMap<Name, ServiceConfig>,
-    /// Accounts by key; none if the site has no keys at all.
+    /// Accounts by API key; `None` if the site uses no API keys.
     accounts: Option<HashMap<Name, Arc<AccountConfig>>>,
 }
 
 impl SiteIndex {
-    /// The number that orders versions.
+    /// The version number; a newer version has a greater one.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
@@ -32,7 +32,7 @@
         self.routes.values().map(Vec::len).sum()
     }
 
-    /// The service of that name.
+    /// The service with the given name.
     pub fn service(&self, name: &str) -> Option<&ServiceConfig> {
         self.services.get(name)
     }
@@ -42,13 +42,13 @@
         self.services.keys()
     }
 
-    /// The route with the longest prefix of the path among those of the host.
+    /// The route of `host` with the longest prefix that matches `path`.
     ///
     /// # Errors
     ///
     /// `UnknownPath` if the host has no route for the path.
     pub fn route(&self, host: &str, path: &str) -> Result<Arc<RouteConfig>> {
-        let host = plain_host(host);
+        let host = normalize_host(host);
         let routes = self.routes.get(host.as_str());
         let found = routes.into_iter().flatten().find(|route| path.starts_with(&*route.prefix));
         found.map(Arc::clone).ok_or_else(|| {
@@ -56,11 +56,11 @@
         })
     }
 
-    /// The account that a key names, where the route asks for one; none on a public route without accounts.
+    /// The account that an API key identifies; `None` if the route is public or the site uses no API keys.
     ///
     /// # Errors
     ///
-    /// `MissingKey` or `UnknownKey`.
+    /// `MissingKey` if the route requires a key and `key` is `None`; `UnknownKey` if no account has this key.
     pub fn account(&self, route: &RouteConfig, key: Option<&str>) -> Result<Option<Arc<AccountConfig>>> {
         let Some(accounts) = &self.accounts else {
             return Ok(None);
@@ -102,8 +102,8 @@
     index
 }
 
-/// A host as routes name it: lower case, without a port.
-fn plain_host(host: &str) -> String {
+/// Normalizes a host name to the form used in routes: lower case, without a port.
+fn normalize_host(host: &str) -> String {
     let name = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
         _ => host,
--- a/crates/hollyhook_core/src/site/site_state.rs
+++ b/crates/hollyhook_core/src/site/site_state.rs
@@ -4,34 +4,34 @@
 use super::{SiteConfig, SiteIndex};
 use crate::TimePoint;
 
-/// What became of a version that was read.
+/// The outcome of reading a configuration version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigAdoption {
-    /// It is in force now.
+    /// The version is newer than any version in force before, and is now in force.
     Adopted,
-    /// It is in force already.
+    /// The version was already in force.
     Same,
-    /// A newer one is in force; a late or stale read.
+    /// A newer version is in force, so the read was late or stale.
     Older,
 }
 
-/// The version of the configuration that is in force here, and until when it was known to be the newest.
+/// The configuration version in force at this host, and when it was last confirmed to be the newest.
 ///
-/// Versions only go forward. A host that can't reach the platform can't know whether a key was taken away, so it
-/// honours keys only for a bounded time after the platform last confirmed the version.
+/// A version is replaced only by a newer one. A host that can't reach the platform can't know whether an API key was
+/// revoked, so it accepts keys only for a bounded time after the platform last confirmed the version.
 #[derive(Debug, Default)]
 pub struct SiteState {
     site: Option<Arc<SiteIndex>>,
-    confirmed: Option<TimePoint>,
-    /// The era of the store in which it was read.
+    confirmed_at: Option<TimePoint>,
+    /// The era of the store in which the version in force was read.
     era: u64,
 }
 
 impl SiteState {
-    /// Takes in a version that was the newest in the store at `read_at`, in an era of the store.
+    /// Applies a version that was the newest in the store at `read_at`, in the given era of the store.
     ///
-    /// An older one in a later era is what the copy holds from which the store came back: the operator will write the newer one
-    /// again, and until then nothing is newer than what is in force.
+    /// An older version in a later era comes from the older copy that the store was restored from. It confirms the
+    /// version in force: until the operator writes the newer version again, the store holds nothing newer.
     pub fn adopt(&mut self, config: SiteConfig, read_at: TimePoint, era: u64) -> ConfigAdoption {
         let current = self.site.as_ref().map(|site| site.version());
         let adoption = match current {
@@ -49,9 +49,9 @@
         adoption
     }
 
-    /// Notes that the version in force was still the newest at that time.
+    /// Records that the version in force was still the newest at `at`; an earlier time than the last one has no effect.
     pub fn confirm(&mut self, at: TimePoint) {
-        self.confirmed = self.confirmed.max(Some(at));
+        self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
     /// The configuration in force.
@@ -59,13 +59,13 @@
         self.site.clone()
     }
 
-    /// When the version in force was last known to be the newest.
+    /// When the version in force was last confirmed to be the newest.
     pub fn confirmed_at(&self) -> Option<TimePoint> {
-        self.confirmed
+        self.confirmed_at
     }
 
-    /// Whether the version in force was known to be the newest within the last `bound`.
+    /// Whether the version in force was confirmed to be the newest within the last `bound`.
     pub fn is_current(&self, now: TimePoint, bound: Duration) -> bool {
-        self.confirmed.is_some_and(|at| now.since(at) < bound)
+        self.confirmed_at.is_some_and(|at| now.since(at) < bound)
     }
 }
--- a/crates/hollyhook_core/tests/fuzz/route_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/route_fuzz.rs
@@ -11,11 +11,11 @@
 use crate::harness::fuzz;
 
 const COUNT: usize = 6;
-const PLACES: u32 = 4;
+const SLOTS: u32 = 4;
 
-/// What the oracle keeps of an endpoint, in its own words.
+/// The reference model's state of one endpoint.
 #[derive(Debug, Clone, Copy, Default)]
-struct Fact {
+struct EndpointModel {
     is_leaving: bool,
     is_other_version: bool,
     has_failed: bool,
@@ -51,51 +51,52 @@
     EndpointId::from(format!("e{number}"))
 }
 
-fn table(others: u64) -> (EndpointTable, BTreeMap<usize, Fact>) {
+fn table(other_versions: u64) -> (EndpointTable, BTreeMap<usize, EndpointModel>) {
     let mut table = EndpointTable::new("zone-0".into());
-    let mut facts = BTreeMap::new();
+    let mut models = BTreeMap::new();
     for number in 0..COUNT {
-        let is_other_version = (number as u64) < others;
+        let is_other_version = (number as u64) < other_versions;
         let version = if is_other_version { "2" } else { "1" };
         let address = ([10, 0, 0, number as u8], 80).into();
         let zone = format!("zone-{}", number % 2).into();
         let record = EndpointRecord::new(name(number), "tutor".into(), zone, address);
         table.upsert(record.binding(ModelBinding::new("t", version)));
-        table.update_load(&name(number), LoadReport { running: 0, waiting: 0, capacity: PLACES });
-        facts.insert(number, Fact { is_other_version, ..Fact::default() });
+        table.update_load(&name(number), LoadReport { running: 0, waiting: 0, capacity: SLOTS });
+        models.insert(number, EndpointModel { is_other_version, ..EndpointModel::default() });
     }
-    (table, facts)
+    (table, models)
 }
 
-/// Only endpoints that serve the same version, do not leave and are not avoided; the failing only if no other is left;
-/// a full one only if every drawn one is full; and none while one fits is never the answer.
+/// A choice falls only on endpoints that serve the required version, are not leaving and are not avoided; on a failed
+/// endpoint only if no other is left; and on a full endpoint only if every sampled one is full. It always finds an
+/// endpoint if one is allowed.
 #[test]
 fn route_only_where_allowed() {
-    fuzz("route", 2_000, &steps(), |(others, steps)| {
-        let (mut table, mut facts) = table(others);
+    fuzz("route", 2_000, &steps(), |(other_versions, steps)| {
+        let (mut table, mut models) = table(other_versions);
         let binding = ModelBinding::new("t", "1");
         for step in steps {
             match step {
-                Step::Choose(seed) => check_choice(&mut table, &mut facts, &binding, seed, None),
-                Step::Avoid(seed, endpoint) => check_choice(&mut table, &mut facts, &binding, seed, Some(endpoint)),
+                Step::Choose(seed) => check_choice(&mut table, &mut models, &binding, seed, None),
+                Step::Avoid(seed, endpoint) => check_choice(&mut table, &mut models, &binding, seed, Some(endpoint)),
                 Step::Close(number) => {
                     table.record_close(&name(number));
-                    let fact = facts.get_mut(&number).unwrap();
-                    fact.open = fact.open.saturating_sub(1);
+                    let model = models.get_mut(&number).unwrap();
+                    model.open = model.open.saturating_sub(1);
                 }
                 Step::Fail(number) => {
                     table.record_failure(TimePoint::ZERO, &name(number));
-                    facts.get_mut(&number).unwrap().has_failed = true;
+                    models.get_mut(&number).unwrap().has_failed = true;
                 }
                 Step::Succeed(number) => {
                     table.record_success(&name(number));
-                    facts.get_mut(&number).unwrap().has_failed = false;
+                    models.get_mut(&number).unwrap().has_failed = false;
                 }
                 Step::Leave(number) | Step::Return(number) => {
                     let is_leaving = matches!(step, Step::Leave(_));
                     let state = if is_leaving { EndpointState::Leaving } else { EndpointState::Live };
                     table.get_mut(&name(number)).unwrap().state = state;
-                    facts.get_mut(&number).unwrap().is_leaving = is_leaving;
+                    models.get_mut(&number).unwrap().is_leaving = is_leaving;
                 }
             }
         }
@@ -104,7 +105,7 @@
 
 fn check_choice(
     table: &mut EndpointTable,
-    facts: &mut BTreeMap<usize, Fact>,
+    models: &mut BTreeMap<usize, EndpointModel>,
     binding: &ModelBinding,
     seed: u64,
     avoided: Option<usize>,
@@ -112,31 +113,31 @@
     let avoid: Vec<EndpointId> = avoided.map(name).into_iter().collect();
     let query = RouteQuery::new("tutor").binding(binding).avoid(&avoid);
     let chosen = table.choose(TimePoint::ZERO, &query, &mut Pcg64::seed_from_u64(seed));
-    let fits = |(number, fact): (&usize, &Fact)| {
-        let is_allowed = !fact.is_leaving && !fact.is_other_version && Some(*number) != avoided;
+    let fits = |(number, model): (&usize, &EndpointModel)| {
+        let is_allowed = !model.is_leaving && !model.is_other_version && Some(*number) != avoided;
         is_allowed.then_some(*number)
     };
-    let allowed: Vec<usize> = facts.iter().filter_map(fits).collect();
+    let allowed: Vec<usize> = models.iter().filter_map(fits).collect();
     let Some(chosen) = chosen else {
-        assert!(allowed.is_empty(), "nothing was chosen though {allowed:?} are allowed");
+        assert!(allowed.is_empty(), "no endpoint was chosen although {allowed:?} are allowed");
         return;
     };
     let number: usize = chosen[1..].parse().unwrap();
     assert!(allowed.contains(&number), "{number} was chosen, allowed are {allowed:?}");
-    let is_healthy_left = allowed.iter().any(|other| !facts[other].has_failed);
-    assert!(!facts[&number].has_failed || !is_healthy_left, "a failing endpoint was chosen before a healthy one");
-    // With so few endpoints that all are drawn, a free one is never passed over for a full one.
+    let is_healthy_left = allowed.iter().any(|other| !models[other].has_failed);
+    assert!(!models[&number].has_failed || !is_healthy_left, "a failing endpoint was chosen before a healthy one");
+    // With so few endpoints that all are sampled, a full one is never chosen while one has free slots.
     let pool: Vec<&usize> =
-        allowed.iter().filter(|other| facts[other].has_failed == facts[&number].has_failed).collect();
-    if pool.len() <= 4 && facts[&number].open >= PLACES {
-        assert!(pool.iter().all(|other| facts[other].open >= PLACES), "a full endpoint was chosen before a free one");
+        allowed.iter().filter(|other| models[other].has_failed == models[&number].has_failed).collect();
+    if pool.len() <= 4 && models[&number].open >= SLOTS {
+        assert!(pool.iter().all(|other| models[other].open >= SLOTS), "a full endpoint was chosen before a free one");
     }
     table.record_open(TimePoint::ZERO, &chosen);
-    facts.get_mut(&number).unwrap().open += 1;
+    models.get_mut(&number).unwrap().open += 1;
 }
 
-/// Coverage of a large fleet by the subsets of many hosts: bounded, each zone in it, no endpoint without a host, and
-/// little changed by the loss of one endpoint.
+/// The subsets of many hosts cover a large fleet: each subset is bounded, contains endpoints of every zone and changes
+/// little when one endpoint is lost, and every endpoint is in some subset.
 #[test]
 fn subset_of_a_large_fleet() {
     const HOSTS: usize = 200;
@@ -158,8 +159,8 @@
             covered[number] += 1;
             of_zone[number % ZONES] += 1;
         }
-        assert_eq!(of_zone[host % ZONES], EndpointSubset::LIMIT / 2, "half are of the own zone");
-        assert!(of_zone.iter().all(|count| *count >= 10), "every zone is there: {of_zone:?}");
+        assert_eq!(of_zone[host % ZONES], EndpointSubset::LIMIT / 2, "half of the subset is in the own zone");
+        assert!(of_zone.iter().all(|count| *count >= 10), "the subset has endpoints of every zone: {of_zone:?}");
         let lost = number_of(&chosen[0]);
         let after = subset.choose(fleet(lost));
         let kept = chosen.iter().filter(|endpoint| after.contains(endpoint)).count();
--- a/crates/hollyhook_core/tests/gateway/choosing.rs
+++ b/crates/hollyhook_core/tests/gateway/choosing.rs
@@ -13,10 +13,10 @@
     record.capacity(64)
 }
 
-fn table(zones: &[&str], each: u16) -> EndpointTable {
+fn table(zones: &[&str], engines_per_zone: u16) -> EndpointTable {
     let mut table = EndpointTable::new("z0".into());
     for (number, zone) in zones.iter().enumerate() {
-        for engine in 0..each {
+        for engine in 0..engines_per_zone {
             let port = 1_000 * (number as u16 + 1) + engine;
             table.upsert(record(&format!("{zone}-{engine}"), zone, port, 1));
         }
@@ -28,8 +28,8 @@
     records.iter().map(|record| &*record.id).collect()
 }
 
-fn home(table: &EndpointTable, number: u64) -> EndpointId {
-    EndpointId::clone(&table.shortlist(NOW, &query(), number, 1)[0].id)
+fn first_choice(table: &EndpointTable, key: u64) -> EndpointId {
+    EndpointId::clone(&table.shortlist(NOW, &query(), key, 1)[0].id)
 }
 
 fn query() -> RouteQuery<'static> {
@@ -42,7 +42,7 @@
     NOW + Duration::from_millis(millis)
 }
 
-/// Two hosts that know different loads of other engines agree on where a prompt is at home.
+/// Two hosts agree on the engines for a prompt even if they know different loads of other engines.
 #[test]
 fn shortlist_same_on_all_hosts() {
     let (one, mut two) = (table(&["z0", "z1"], 8), table(&["z0", "z1"], 8));
@@ -52,10 +52,10 @@
     two.record_open(NOW, &other.id);
     two.record_open(NOW, &other.id);
     assert_eq!(ids(&list), ids(&two.shortlist(NOW, &query(), 77, 2)));
-    assert!(list.iter().all(|record| &*record.zone == "z0"), "the own zone goes first");
+    assert!(list.iter().all(|record| &*record.zone == "z0"), "engines of the own zone go first");
 }
 
-/// Preferred ones go first where they cost about the same, and only there.
+/// Preferred engines go first among those of about the same cost, but not before cheaper ones.
 #[test]
 fn shortlist_prefers_among_equals() {
     let mut table = table(&["z0"], 8);
@@ -68,32 +68,32 @@
     assert_eq!(table.shortlist(NOW, &query().prefer(&preferred), 77, 1)[0].id, usual[0].id);
 }
 
-/// Home is left when it is clearly fuller than others.
+/// A prompt's usual engine is not its first choice while it is clearly busier than the others.
 #[test]
-fn shortlist_leaves_full_home() {
+fn shortlist_avoids_busy_usual_engine() {
     let mut table = table(&["z0"], 8);
-    let home = home(&table, 77);
+    let usual = first_choice(&table, 77);
     for _ in 0..3 {
-        table.record_open(NOW, &home);
+        table.record_open(NOW, &usual);
     }
-    assert_ne!(table.shortlist(NOW, &query(), 77, 1)[0].id, home);
+    assert_ne!(table.shortlist(NOW, &query(), 77, 1)[0].id, usual);
 }
 
-/// Many prompts at home everywhere: no engine gets far more than its share.
+/// Over many prompts, no engine is the first choice for far more than its share.
 #[test]
 fn shortlist_spreads() {
     let table = table(&["z0"], 8);
     let mut counts = std::collections::BTreeMap::new();
     for number in 0..8_000_u64 {
-        let home = home(&table, number);
-        *counts.entry(home).or_insert(0) += 1;
+        let engine = first_choice(&table, number);
+        *counts.entry(engine).or_insert(0) += 1;
     }
     assert_eq!(counts.len(), 8);
     assert!(counts.values().all(|count| (850..1_150).contains(count)), "{counts:?}");
 }
 
 #[test]
-fn shortlist_leaves_out_ejected_and_zone() {
+fn shortlist_excludes_ejected_and_zone() {
     let mut table = table(&["z0", "z1"], 2);
     table.record_failure(NOW, "z0-0");
     let list = table.shortlist(after(100), &query(), 77, 9);
@@ -103,21 +103,26 @@
     assert!(elsewhere.iter().all(|record| &*record.zone == "z1"));
 }
 
-/// Two engines of a zone that fail together make the zone suspect: what is left of it is not trusted for a while.
+/// Two engines of a zone that fail at almost the same time make the zone suspect: its other engines are avoided for a
+/// while.
 #[test]
 fn zone_suspect_after_two_losses() {
     let mut table = table(&["z0", "z1"], 4);
     let mut rng = Pcg64::seed_from_u64(1);
     table.record_failure(NOW, "z0-0");
-    assert_eq!(&*table.shortlist(after(10), &query(), 77, 1)[0].zone, "z0", "one loss is its own");
+    assert_eq!(
+        &*table.shortlist(after(10), &query(), 77, 1)[0].zone,
+        "z0",
+        "a single failure does not make the zone suspect"
+    );
     table.record_failure(after(20), "z0-1");
     assert_eq!(&*table.shortlist(after(30), &query(), 77, 1)[0].zone, "z1");
     let chosen = table.choose(after(30), &query(), &mut rng).unwrap();
     assert!(chosen.starts_with("z1"));
-    assert_eq!(&*table.shortlist(after(1_600), &query(), 77, 1)[0].zone, "z0", "suspicion ends");
+    assert_eq!(&*table.shortlist(after(1_600), &query(), 77, 1)[0].zone, "z0", "the zone is no longer suspect");
 }
 
-/// The same engine failing twice is no reason to suspect its zone.
+/// Two failures of the same engine do not make its zone suspect.
 #[test]
 fn zone_not_suspect_after_one_engine() {
     let mut table = table(&["z0", "z1"], 4);
@@ -126,9 +131,9 @@
     assert_eq!(&*table.shortlist(after(30), &query(), 77, 1)[0].zone, "z0");
 }
 
-/// An endpoint that fails most of its requests gets few; how it fails does not matter.
+/// An endpoint whose answers are failures is avoided although it answers; the kind of failure does not matter.
 #[test]
-fn grey_endpoint_avoided() {
+fn failing_endpoint_avoided() {
     let mut table = table(&["z0"], 2);
     for _ in 0..10 {
         table.record_answer(NOW, "z0-0", true);
@@ -139,9 +144,9 @@
     assert_eq!(chosen, 0);
 }
 
-/// Whoever is gone, or has moved, is beside nobody any more, neither by its address nor by its name.
+/// A removed endpoint is found neither by its address nor by its name, and a moved one not by its former address.
 #[test]
-fn displaced_by_none_of_the_gone() {
+fn displaced_by_ignores_removed_and_moved() {
     let mut table = table(&["z0"], 3);
     let later = |port| record("later", "z0", port, 9);
     assert_eq!(table.displaced_by(&later(1_000)), ["z0-0".into()]);
@@ -150,7 +155,7 @@
     assert!(table.registered_as("z0-0").is_empty());
 
     table.upsert(record("z0-1", "z0", 5_000, 1));
-    assert_eq!(table.displaced_by(&later(1_001)), [] as [EndpointId; 0], "it has moved");
+    assert_eq!(table.displaced_by(&later(1_001)), [] as [EndpointId; 0], "z0-1 has moved to another address");
     assert_eq!(table.displaced_by(&later(5_000)), ["z0-1".into()]);
     assert_eq!(table.registered_as("z0-1"), ["z0-1".into()]);
 
@@ -159,7 +164,7 @@
     assert!(table.registered_as("z0-2").is_empty());
 }
 
-/// A later registration has the address; the earlier one only still stands in the list.
+/// A later registration of an address displaces the earlier one, whose entry is still in the platform's list.
 #[test]
 fn displaced_by_later_registration() {
     let mut table = table(&["z0"], 1);
@@ -177,9 +182,9 @@
     record.incarnation_of(entry.into(), Some(started))
 }
 
-/// What was counted and learnt of an engine is dropped when it starts again under its name.
+/// Open requests and failures of an engine do not count for its next incarnation under the same entry.
 #[test]
-fn restart_known_as_another() {
+fn restart_has_fresh_record() {
     let mut table = table(&["z0"], 2);
     table.upsert(start("e", 1_000, 7, 5));
     table.record_open(NOW, "e@1000");
@@ -194,7 +199,7 @@
     assert_eq!(table.registered_as("e"), ["e@2000".into()]);
 }
 
-/// A late read of an entry does not bring an earlier start back, wherever the later one is.
+/// A late read of an entry does not bring back an earlier incarnation, even if the later one has another address.
 #[test]
 fn restart_not_undone_by_old_entry() {
     let mut table = table(&["z0"], 2);
@@ -203,9 +208,9 @@
     assert!(!table.is_displaced(&start("e", 3_000, 7, 5), |_| true));
 }
 
-/// Whoever registers an address for a service that nobody knows does not keep its owner out.
+/// A registration for an unknown service does not displace an earlier endpoint at the same address.
 #[test]
-fn unknown_service_displaces_nobody() {
+fn unknown_service_displaces_no_endpoint() {
     let mut table = table(&["z0"], 1);
     let mut stranger = record("stranger", "z0", 1_000, 9);
     stranger.service = "unheard-of".into();
@@ -229,19 +234,19 @@
     choose_engine(candidates, 9_000).map(|candidate| &*candidate.record.id)
 }
 
-/// Load: prompts of 8,000 tokens, a second each, read one after another.
+/// Engines read prompts one after another; a prompt of 8,000 tokens takes a second.
 #[test]
 fn engine_without_waiting_prompts() {
     assert_eq!(chosen(&[candidate("a", 1, 2, 0), candidate("b", 6, 0, 0)]), Some("b"));
     assert_eq!(chosen(&[reading(candidate("a", 0, 0, 0), 2), candidate("b", 2, 0, 0)]), Some("b"));
-    // About equally free: the order that all hosts share decides, so that a prompt finds its cache.
+    // For engines of about the same load, the order that all hosts share decides, so that a prompt reaches its cache.
     assert_eq!(chosen(&[candidate("a", 2, 0, 0), candidate("b", 0, 0, 0)]), Some("a"));
 }
 
-/// Where the first engine settles the choice, it is the one that would be chosen had all been asked.
+/// An engine that is a certain choice is also chosen if all other engines are idle.
 #[test]
-fn engine_settled_without_others() {
-    let mut settled = 0;
+fn engine_certain_without_others() {
+    let mut certain = 0;
     for (running, waiting, used, prompts) in (0..6)
         .flat_map(|running| (0..3).flat_map(move |waiting| (0..2).map(move |full| (running, waiting, full))))
         .flat_map(|(running, waiting, full)| (0..3).map(move |prompts| (running, waiting, full * 85_000, prompts)))
@@ -250,11 +255,11 @@
         let idle = [candidate("b", 0, 0, 0), candidate("c", 0, 0, 0)];
         let all = [vec![first.clone()], idle.to_vec()].concat();
         if is_certain_choice(&first, 9_000) {
-            settled += 1;
+            certain += 1;
             assert_eq!(chosen(&all), Some("a"), "{running} {waiting} {used} {prompts}");
         }
     }
-    assert_eq!(settled, 4, "up to two runs, or one prompt that is read");
+    assert_eq!(certain, 4, "an engine with up to two runs, or with one prompt being read and no run");
     let mut silent = candidate("a", 0, 0, 0);
     silent.report = None;
     assert!(!is_certain_choice(&silent, 9_000));
@@ -272,9 +277,9 @@
     assert_eq!(chosen(&[silent]), None);
 }
 
-/// Reports are older than what this host sent just now.
+/// The requests that this host has just sent are not yet in the engines' reports.
 #[test]
-fn engine_counts_what_was_sent_since() {
+fn engine_cost_counts_unreported_requests() {
     let mut table = table(&["z0"], 2);
     table.record_open(NOW, "z0-0");
     let report = candidate("", 0, 0, 0).report;
@@ -286,26 +291,27 @@
         [known("z0-0"), known("z0-1")]
     };
     assert_eq!(chosen(&as_of(100)), Some("z0-1"));
-    assert_eq!(chosen(&as_of(400)), Some("z0-0"), "by then the report shows it");
+    assert_eq!(chosen(&as_of(400)), Some("z0-0"), "the report is recent enough to contain the request");
 }
 
-/// Load beyond what the engines can take: a request is refused only if it could not end before its caller gives up.
+/// Under load that exceeds the engines' capacity, a request is refused only if it could not end before its caller times
+/// out.
 #[test]
-fn excess_wait_by_prompts_before() {
+fn excess_wait_by_waiting_prompts() {
     let wait = |waiting, left| {
         let report = candidate("a", 4, waiting, 0).report.unwrap();
         excess_wait(&report, 7_000, Duration::from_secs(left))
     };
     assert_eq!(wait(0, 25), None);
-    assert_eq!(wait(19, 25), None, "late, but served");
-    // 30 prompts of a second before it, its own, and 4.2 s for its events.
+    assert_eq!(wait(19, 25), None, "a late answer is better than none");
+    // 30 prompts ahead and its own take a second each, and its events take 4.2 s.
     assert_eq!(wait(30, 25), Some(Duration::from_millis(10_200)));
     assert_eq!(wait(0, 5), Some(Duration::from_millis(200)));
 }
 
-/// Where a prompt may have gone does not depend on what this host sent meanwhile.
+/// The likely holders of a prompt do not depend on the requests that this host has sent meanwhile.
 #[test]
-fn homes_whatever_the_load() {
+fn likely_holders_whatever_the_load() {
     let mut table = table(&["z0", "z1"], 6);
     let before = table.likely_holders(NOW, &query(), 77, HolderLimits { own_zone: 2, other_zone: 1 });
     for record in table.likely_holders(NOW, &query(), 77, HolderLimits { own_zone: 1, other_zone: 1 }) {
@@ -313,19 +319,19 @@
             table.record_open(NOW, &record.id);
         }
     }
-    let homes = table.likely_holders(NOW, &query(), 77, HolderLimits { own_zone: 2, other_zone: 1 });
-    assert_eq!(ids(&homes), ids(&before));
-    let zones: Vec<&str> = homes.iter().map(|record| &*record.zone).collect();
+    let holders = table.likely_holders(NOW, &query(), 77, HolderLimits { own_zone: 2, other_zone: 1 });
+    assert_eq!(ids(&holders), ids(&before));
+    let zones: Vec<&str> = holders.iter().map(|record| &*record.zone).collect();
     assert_eq!(zones, ["z0", "z0", "z1"]);
 }
 
-/// Without load, a prompt's first home is where it is placed.
+/// Without load, the likely holders of the own zone are the engines that the prompt is sent to.
 #[test]
-fn homes_agree_with_shortlist() {
+fn likely_holders_agree_with_shortlist() {
     let table = table(&["z0", "z1"], 6);
     for number in 0..50 {
-        let homes = table.likely_holders(NOW, &query(), number, HolderLimits { own_zone: 2, other_zone: 1 });
-        assert_eq!(ids(&homes)[..2], ids(&table.shortlist(NOW, &query(), number, 2)));
+        let holders = table.likely_holders(NOW, &query(), number, HolderLimits { own_zone: 2, other_zone: 1 });
+        assert_eq!(ids(&holders)[..2], ids(&table.shortlist(NOW, &query(), number, 2)));
     }
 }
 
@@ -333,14 +339,14 @@
     EngineCandidate { held_tokens: tokens, ..candidate }
 }
 
-/// Where the request goes, and from where its prompt is fetched.
+/// The engine that the request is sent to, and the engine that its prompt is fetched from.
 fn held(candidates: &[EngineCandidate]) -> Option<(&str, Option<&str>)> {
     let placement = place_held_prompt(candidates, 9_000, "z0")?;
     let fetched = placement.is_fetched().then_some(&*placement.holder.record.id);
     Some((&*placement.candidate.record.id, fetched))
 }
 
-/// Load: callers who come back at once after a loss of hosts, with prompts that engines have just read.
+/// After a loss of hosts, callers reconnect with prompts that engines have just read.
 #[test]
 fn held_at_the_holder_of_most() {
     let others = [candidate("a", 0, 0, 0), holding(5_000, candidate("b", 1, 0, 0))];
@@ -348,7 +354,7 @@
     let most = holding(8_000, candidate("c", 1, 0, 0));
     assert_eq!(held(&[others[1].clone(), most]), Some(("c", None)));
     assert_eq!(held(&[candidate("a", 0, 0, 0)]), None);
-    assert_eq!(held(&[holding(16, candidate("a", 0, 0, 0))]), None, "reading so little costs less than the way");
+    assert_eq!(held(&[holding(16, candidate("a", 0, 0, 0))]), None, "reading 16 tokens costs less than fetching them");
 }
 
 #[test]
@@ -359,10 +365,10 @@
     assert_eq!(held(&[holding(8_000, candidate("a", 0, 0, 80_000)), free.clone()]), fetched);
     assert_eq!(held(&[holding(8_000, reading(candidate("a", 0, 0, 0), 2)), free.clone()]), fetched);
     let silent = EngineCandidate { report: None, ..candidate("a", 0, 0, 0) };
-    assert_eq!(held(&[holding(8_000, silent), free]), None, "what does not answer holds nothing");
+    assert_eq!(held(&[holding(8_000, silent), free]), None, "an engine that does not answer is not used as a holder");
 }
 
-/// An engine of another zone takes the request only if it is clearly freer.
+/// A request goes to an engine of another zone only if that is clearly less loaded.
 #[test]
 fn held_in_the_own_zone_first() {
     let far = |running| EngineCandidate { record: record("far", "z1", 1, 1), ..candidate("", running, 0, 0) };
--- a/crates/hollyhook_core/tests/gateway/site.rs
+++ b/crates/hollyhook_core/tests/gateway/site.rs
@@ -23,7 +23,7 @@
     }
 }
 
-fn plan(version: u64, keys: &[&str]) -> SiteConfig {
+fn config(version: u64, keys: &[&str]) -> SiteConfig {
     let keys = keys.iter().map(|key| (*key).into()).collect();
     SiteConfig {
         version,
@@ -45,7 +45,7 @@
 
 #[test]
 fn route_by_host_and_longest_prefix() {
-    let site = SiteIndex::from(plan(1, &[]));
+    let site = SiteIndex::from(config(1, &[]));
     assert_eq!(prefix(&site, "a.example", "/x/1").as_deref(), Some("/x/"));
     assert_eq!(prefix(&site, "A.EXAMPLE:8080", "/x/y/1").as_deref(), Some("/x/y/"));
     assert_eq!(prefix(&site, "a.example", "/x/yy").as_deref(), Some("/x/"));
@@ -57,59 +57,60 @@
 
 #[test]
 fn account_by_key() {
-    let site = SiteIndex::from(plan(1, &["k1", "k2"]));
-    let closed = site.route("a.example", "/x/1").unwrap();
-    assert_eq!(&*site.account(&closed, Some("k2")).unwrap().unwrap().name, "office");
-    assert_eq!(site.account(&closed, Some("k3")).unwrap_err().kind(), ErrorKind::UnknownKey);
-    assert_eq!(site.account(&closed, None).unwrap_err().kind(), ErrorKind::MissingKey);
-    let open = site.route("a.example", "/open/1").unwrap();
-    assert!(site.account(&open, None).unwrap().is_none());
-    let keyless = SiteIndex::from(SiteConfig { accounts: None, ..plan(1, &[]) });
-    assert!(keyless.account(&closed, None).unwrap().is_none());
+    let site = SiteIndex::from(config(1, &["k1", "k2"]));
+    let private = site.route("a.example", "/x/1").unwrap();
+    assert_eq!(&*site.account(&private, Some("k2")).unwrap().unwrap().name, "office");
+    assert_eq!(site.account(&private, Some("k3")).unwrap_err().kind(), ErrorKind::UnknownKey);
+    assert_eq!(site.account(&private, None).unwrap_err().kind(), ErrorKind::MissingKey);
+    let public = site.route("a.example", "/open/1").unwrap();
+    assert!(site.account(&public, None).unwrap().is_none());
+    let keyless = SiteIndex::from(SiteConfig { accounts: None, ..config(1, &[]) });
+    assert!(keyless.account(&private, None).unwrap().is_none());
 }
 
-/// What an older copy of the store holds is not in force, and takes no confirmation from what is: the store holds nothing newer.
+/// An older version from a store that was restored from an older copy is not put in force, but confirms the version in
+/// force: the store holds nothing newer.
 #[test]
-fn ledger_older_version_of_later_era_confirms() {
-    let mut ledger = SiteState::default();
-    ledger.adopt(plan(4, &[]), TimePoint::from_millis(1_000), 1);
-    assert_eq!(ledger.adopt(plan(3, &[]), TimePoint::from_millis(9_000), 2), ConfigAdoption::Older);
-    assert_eq!(ledger.site().unwrap().version(), 4);
-    assert_eq!(ledger.confirmed_at(), Some(TimePoint::from_millis(9_000)));
-    ledger.adopt(plan(5, &[]), TimePoint::from_millis(9_500), 2);
-    assert_eq!(ledger.adopt(plan(4, &[]), TimePoint::from_millis(9_900), 2), ConfigAdoption::Older);
-    assert_eq!(ledger.confirmed_at(), Some(TimePoint::from_millis(9_500)));
+fn state_older_version_of_later_era_confirms() {
+    let mut state = SiteState::default();
+    state.adopt(config(4, &[]), TimePoint::from_millis(1_000), 1);
+    assert_eq!(state.adopt(config(3, &[]), TimePoint::from_millis(9_000), 2), ConfigAdoption::Older);
+    assert_eq!(state.site().unwrap().version(), 4);
+    assert_eq!(state.confirmed_at(), Some(TimePoint::from_millis(9_000)));
+    state.adopt(config(5, &[]), TimePoint::from_millis(9_500), 2);
+    assert_eq!(state.adopt(config(4, &[]), TimePoint::from_millis(9_900), 2), ConfigAdoption::Older);
+    assert_eq!(state.confirmed_at(), Some(TimePoint::from_millis(9_500)));
 }
 
 #[test]
-fn ledger_honours_keys_for_a_bounded_time() {
+fn state_confirmed_for_a_bounded_time() {
     let bound = Duration::from_secs(3);
-    let mut ledger = SiteState::default();
-    assert!(!ledger.is_current(TimePoint::ZERO, bound));
-    ledger.adopt(plan(4, &[]), TimePoint::from_millis(1_000), 1);
-    assert!(ledger.is_current(TimePoint::from_millis(3_999), bound));
-    assert!(!ledger.is_current(TimePoint::from_millis(4_000), bound));
-    ledger.confirm(TimePoint::from_millis(2_000));
-    // A confirmation that comes late is of an earlier time.
-    ledger.confirm(TimePoint::from_millis(500));
-    assert!(ledger.is_current(TimePoint::from_millis(4_500), bound));
+    let mut state = SiteState::default();
+    assert!(!state.is_current(TimePoint::ZERO, bound));
+    state.adopt(config(4, &[]), TimePoint::from_millis(1_000), 1);
+    assert!(state.is_current(TimePoint::from_millis(3_999), bound));
+    assert!(!state.is_current(TimePoint::from_millis(4_000), bound));
+    state.confirm(TimePoint::from_millis(2_000));
+    // A confirmation that arrives late has an earlier time and changes nothing.
+    state.confirm(TimePoint::from_millis(500));
+    assert!(state.is_current(TimePoint::from_millis(4_500), bound));
     // A late read of an older version confirms nothing.
-    assert_eq!(ledger.adopt(plan(3, &[]), TimePoint::from_millis(9_000), 1), ConfigAdoption::Older);
-    assert!(!ledger.is_current(TimePoint::from_millis(9_000), bound));
+    assert_eq!(state.adopt(config(3, &[]), TimePoint::from_millis(9_000), 1), ConfigAdoption::Older);
+    assert!(!state.is_current(TimePoint::from_millis(9_000), bound));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever order versions are read in, the newest read so far is in force, and it never goes back.
+    /// The newest version read so far is in force, in whatever order versions are read.
     #[test]
-    fn ledger_never_goes_back(versions in proptest::collection::vec(0_u64..20, 1..40)) {
-        let mut ledger = SiteState::default();
+    fn state_never_goes_back(versions in proptest::collection::vec(0_u64..20, 1..40)) {
+        let mut state = SiteState::default();
         let mut newest = None;
         for (step, version) in versions.into_iter().enumerate() {
-            ledger.adopt(plan(version, &[]), TimePoint::from_millis(step as u64), 1);
+            state.adopt(config(version, &[]), TimePoint::from_millis(step as u64), 1);
             newest = newest.max(Some(version));
-            prop_assert_eq!(ledger.site().map(|site| site.version()), newest);
+            prop_assert_eq!(state.site().map(|site| site.version()), newest);
         }
     }
 }
--- a/crates/hollyhook_core/tests/gateway/trials.rs
+++ b/crates/hollyhook_core/tests/gateway/trials.rs
@@ -1,5 +1,7 @@
-//! Endpoints that failed and may be well again. The load: eighty calls a second of 60 ms each from one host to four endpoints of
-//! its zone; five in a hundred of the calls that may be repeated fail wherever they run.
+//! Trial requests to endpoints that failed and may have recovered.
+//!
+//! One host sends about eighty calls per second, of 60 ms each, to four endpoints of its zone. Five in a hundred of the
+//! calls that may be repeated fail at every endpoint.
 
 use std::collections::VecDeque;
 use std::ops::Range;
@@ -11,43 +13,44 @@
 use rand_pcg::rand_core::SeedableRng;
 
 const ENDPOINTS: u16 = 4;
-const PLACES: u32 = 6;
+const SLOTS: u32 = 6;
 const CALL_PAUSE_MS: usize = 12;
 const CALL_TIME: Duration = Duration::from_millis(60);
+/// Of a hundred calls that may be repeated, those that fail at every endpoint.
 const ALWAYS_FAILING: u32 = 5;
 const FAILING: &str = "i-0";
 
-/// What is played.
-struct TrialPlay {
-    /// Of a hundred calls, those that may be repeated.
+/// A simulated load, and the period in which one endpoint fails.
+struct TrialScenario {
+    /// The number of calls in a hundred that may be repeated.
     repeatable: u32,
-    /// Of a hundred calls to the first endpoint, those that fail there.
+    /// The number of calls in a hundred that fail at the failing endpoint.
     failing: u32,
-    /// When it fails, in milliseconds.
+    /// The period in which the endpoint fails, in milliseconds.
     span: Range<u64>,
-    /// When what it gets is counted; the play ends with it.
+    /// The period in which calls to the endpoint are counted, in milliseconds; the simulation ends with it.
     counted: Range<u64>,
 }
 
-/// What the endpoint that fails got.
+/// The calls that the failing endpoint received.
 #[derive(Debug, Default)]
-struct PlayCount {
+struct FailureCount {
     sent: usize,
     failed: usize,
-    /// Of those that failed, the ones that no other endpoint could be asked for.
+    /// Failed calls that could not be retried at another endpoint.
     lost: usize,
 }
 
-impl TrialPlay {
-    fn run(&self, seed: u64) -> PlayCount {
+impl TrialScenario {
+    fn run(&self, seed: u64) -> FailureCount {
         let mut rng = Pcg64::seed_from_u64(seed);
         let mut table = EndpointTable::new("z0".into());
         for number in 0..ENDPOINTS {
             let address = ([10, 0, 0, 1], 80 + number).into();
             let record = EndpointRecord::new(format!("i-{number}").into(), "desk".into(), "z0".into(), address);
-            table.upsert(record.capacity(PLACES));
+            table.upsert(record.capacity(SLOTS));
         }
-        let mut count = PlayCount::default();
+        let mut count = FailureCount::default();
         let mut open: VecDeque<(TimePoint, EndpointId, bool)> = VecDeque::new();
         for millis in (0..self.counted.end).step_by(CALL_PAUSE_MS) {
             let now = TimePoint::from_millis(1_000 + millis);
@@ -71,8 +74,8 @@
         count
     }
 
-    /// The part of all calls that the endpoint got.
-    fn share(&self, count: &PlayCount) -> f64 {
+    /// The share of all calls that the failing endpoint received.
+    fn share(&self, count: &FailureCount) -> f64 {
         let calls = (self.counted.end - self.counted.start) as f64 / CALL_PAUSE_MS as f64;
         count.sent as f64 / calls
     }
@@ -80,33 +83,35 @@
 
 const SEEDS: Range<u64> = 0..8;
 
-/// Where only answers change the evidence, what is not asked is never found well.
+/// Only answers to requests show that an endpoint has recovered, so an endpoint without requests would be avoided for
+/// ever.
 #[test]
-fn well_again_endpoint_gets_its_share() {
+fn recovered_endpoint_gets_its_share() {
     for repeatable in [30, 100] {
-        let play = TrialPlay { repeatable, failing: 100, span: 2_000..4_000, counted: 10_000..16_000 };
+        let scenario = TrialScenario { repeatable, failing: 100, span: 2_000..4_000, counted: 10_000..16_000 };
         for seed in SEEDS {
-            let share = play.share(&play.run(seed));
+            let share = scenario.share(&scenario.run(seed));
             assert!(share > 0.1, "{share} of all calls, {repeatable} in 100 may be repeated, seed {seed}");
         }
     }
 }
 
 #[test]
-fn well_again_endpoint_without_repeatable_calls_gets_its_share() {
-    let play = TrialPlay { repeatable: 0, failing: 100, span: 2_000..4_000, counted: 24_000..30_000 };
+fn recovered_endpoint_without_repeatable_calls_gets_its_share() {
+    let scenario = TrialScenario { repeatable: 0, failing: 100, span: 2_000..4_000, counted: 24_000..30_000 };
     for seed in SEEDS {
-        let share = play.share(&play.run(seed));
+        let share = scenario.share(&scenario.run(seed));
         assert!(share > 0.1, "{share} of all calls, seed {seed}");
     }
 }
 
-/// Of calls that may not be repeated at most one in ten seconds is lost to it, of all at most one in two seconds fails there.
+/// A failing endpoint loses at most one call in ten seconds that may not be repeated, and fails at most one call in two
+/// seconds.
 #[test]
 fn failing_endpoint_costs_few_calls() {
     for failing in [100, 40] {
-        let play = TrialPlay { repeatable: 30, failing, span: 0..30_000, counted: 0..30_000 };
-        let counts: Vec<PlayCount> = SEEDS.map(|seed| play.run(seed)).collect();
+        let scenario = TrialScenario { repeatable: 30, failing, span: 0..30_000, counted: 0..30_000 };
+        let counts: Vec<FailureCount> = SEEDS.map(|seed| scenario.run(seed)).collect();
         let lost: usize = counts.iter().map(|count| count.lost).sum();
         let failed: usize = counts.iter().map(|count| count.failed).sum();
         assert!(lost <= 3 * counts.len(), "{lost} lost, {failing} in 100 fail: {counts:?}");
