--- a/crates/hollyhook_core/src/route/backup_placement.rs
+++ b/crates/hollyhook_core/src/route/backup_placement.rs
@@ -15,14 +15,13 @@
     candidates: impl IntoIterator<Item = &'a EngineCandidate>,
     needed_tokens: u64,
 ) -> Option<&'a EngineCandidate> {
-    let has_room = |candidate: &&EngineCandidate| {
-        candidate.report.as_ref().is_some_and(|report| has_spare_memory(report, needed_tokens))
-    };
+    let has_room =
+        |candidate: &&EngineCandidate| candidate.report.as_ref().is_some_and(|report| has_spare(report, needed_tokens));
     choose_engine(candidates.into_iter().filter(has_room), needed_tokens)
 }
 
 /// Whether no request waits at an engine and it has memory to spare for a backup.
-fn has_spare_memory(report: &EngineReport, needed_tokens: u64) -> bool {
+fn has_spare(report: &EngineReport, needed_tokens: u64) -> bool {
     let max_tokens = report.total_tokens as f64 * MAX_SHARE_WITH_BACKUP;
     report.waiting == 0 && (report.used_tokens + needed_tokens) as f64 <= max_tokens
 }
--- a/crates/hollyhook_core/tests/gateway/large_fleet.rs
+++ b/crates/hollyhook_core/tests/gateway/large_fleet.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn shortlist_prefers_kept_connection_outside_window() {
+fn shortlist_prefers_kept_connections_in_any_zone() {
     let table = table(ENDPOINTS);
     let kept = [id(17_003)];
     let own = zone(0);
