--- a/crates/hollyhook_core/tests/gateway/trials.rs
+++ b/crates/hollyhook_core/tests/gateway/trials.rs
@@ -83,8 +83,7 @@
 
 const SEEDS: Range<u64> = 0..8;
 
-/// Only answers to requests show that an endpoint has recovered, so an endpoint without requests would be avoided for
-/// ever.
+/// If only answers changed the share of failures, an endpoint without requests would never be found to have recovered.
 #[test]
 fn recovered_endpoint_gets_its_share() {
     for repeatable in [30, 100] {
