--- a/crates/hollyhook_core/src/feed/feed_topology.rs
+++ b/crates/hollyhook_core/src/feed/feed_topology.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::route::weight;
+use crate::route::rendezvous_weight;
 use crate::{Name, TimePoint, ZoneName};
 
 /// Fewest hosts of a zone that share what they read from the store. In smaller zones, as at sites of 7 or 8 hosts, the
@@ -53,7 +53,7 @@
     ///
     /// The hash is weighted by link capacity: each source is asked by a share of the hosts in proportion to its link.
     fn distance(&self, asking: &Name) -> f64 {
-        let fraction = (weight(asking.as_bytes(), &self.host) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
+        let fraction = (rendezvous_weight(asking.as_bytes(), &self.host) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
         -fraction.ln() / f64::from(self.link_mbps.max(1))
     }
 }
@@ -125,9 +125,9 @@
     /// Replaces the registered hosts of all zones.
     pub fn set_hosts(&mut self, hosts: Vec<HostRecord>) {
         let (mut own, mut remote): (Vec<_>, Vec<_>) = hosts.into_iter().partition(|record| record.zone == self.zone);
-        let rank = |record: &HostRecord| (record.link_mbps, weight(self.zone.as_bytes(), &record.host));
+        let rank = |record: &HostRecord| (record.link_mbps, rendezvous_weight(self.zone.as_bytes(), &record.host));
         own.sort_by_cached_key(|record| Reverse(rank(record)));
-        remote.sort_by_cached_key(|record| Reverse(weight(self.host.as_bytes(), &record.host)));
+        remote.sort_by_cached_key(|record| Reverse(rendezvous_weight(self.host.as_bytes(), &record.host)));
         self.zone_hosts = own;
         self.remote_hosts = remote;
     }
--- a/crates/hollyhook_core/src/feed/store_contact.rs
+++ b/crates/hollyhook_core/src/feed/store_contact.rs
@@ -88,7 +88,7 @@
     pub fn note_answer(&mut self, now: TimePoint, contact_bound: Duration) -> Option<TimePoint> {
         let lost_at = self.lost_at;
         self.note_peer_answer(now);
-        let latest = lost_at? + contact_bound - (EndpointMembership::RETURN_GRACE + SEND_MARGIN);
+        let latest = lost_at? + contact_bound - (EndpointMembership::RECOVERY_GRACE + SEND_MARGIN);
         Some(now.min(latest))
     }
 
--- a/crates/hollyhook_core/src/forward/attempt_ledger.rs
+++ b/crates/hollyhook_core/src/forward/attempt_ledger.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use super::AttemptFailure;
-use crate::{Error, ErrorKind, RequestKind, RoutePlan};
+use crate::{Error, ErrorKind, RequestKind, RouteConfig};
 
 /// Why no further attempt is made for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -75,8 +75,8 @@
     }
 
     /// A ledger for a request on a route, which sets the kind of the request and the limit on runs.
-    pub fn for_route(route: &RoutePlan, max_not_run: u32) -> Self {
-        Self::new(route.kind, route.most_attempts, max_not_run)
+    pub fn for_route(route: &RouteConfig, max_not_run: u32) -> Self {
+        Self::new(route.kind, route.max_attempts, max_not_run)
     }
 
     /// Records a failed attempt.
--- a/crates/hollyhook_core/src/site/site_index.rs
+++ b/crates/hollyhook_core/src/site/site_index.rs
@@ -1,28 +1,28 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::{AccountPlan, CallerLimits, RoutePlan, ServicePlan, SitePlan};
+use super::{AccountConfig, CallerLimits, RouteConfig, ServiceConfig, SiteConfig};
 use crate::{Error, ErrorKind, Name, Result};
 
-/// One version of the configuration, arranged for lookups.
+/// One version of the site configuration, indexed for lookups.
 #[derive(Debug)]
 pub struct SiteIndex {
     version: u64,
     limits: CallerLimits,
     /// Routes by host, longest prefix first.
-    routes: HashMap<Name, Vec<Arc<RoutePlan>>>,
-    services: HashMap<Name, ServicePlan>,
-    /// Accounts by key; none if the site has no keys at all.
-    accounts: Option<HashMap<Name, Arc<AccountPlan>>>,
+    routes: HashMap<Name, Vec<Arc<RouteConfig>>>,
+    services: HashMap<Name, ServiceConfig>,
+    /// Accounts by API key; `None` if the site uses no API keys.
+    accounts: Option<HashMap<Name, Arc<AccountConfig>>>,
 }
 
 impl SiteIndex {
-    /// The number that orders versions.
+    /// The version number; a newer version has a greater one.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
@@ -32,8 +32,8 @@
         self.routes.values().map(Vec::len).sum()
     }
 
-    /// The service of that name.
-    pub fn service(&self, name: &str) -> Option<&ServicePlan> {
+    /// The service with the given name.
+    pub fn service(&self, name: &str) -> Option<&ServiceConfig> {
         self.services.get(name)
     }
 
@@ -42,13 +42,13 @@
         self.services.keys()
     }
 
-    /// The route with the longest prefix of the path among those of the host.
+    /// The route of `host` with the longest prefix that matches `path`.
     ///
     /// # Errors
     ///
     /// `UnknownPath` if the host has no route for the path.
-    pub fn route(&self, host: &str, path: &str) -> Result<Arc<RoutePlan>> {
-        let host = plain_host(host);
+    pub fn route(&self, host: &str, path: &str) -> Result<Arc<RouteConfig>> {
+        let host = normalize_host(host);
         let routes = self.routes.get(host.as_str());
         let found = routes.into_iter().flatten().find(|route| path.starts_with(&*route.prefix));
         found.map(Arc::clone).ok_or_else(|| {
@@ -56,12 +56,12 @@
         })
     }
 
-    /// The account that a key names, where the route asks for one; none on a public route without accounts.
+    /// The account that an API key identifies; `None` if the route is public or the site uses no API keys.
     ///
     /// # Errors
     ///
-    /// `MissingKey` or `UnknownKey`.
-    pub fn account(&self, route: &RoutePlan, key: Option<&str>) -> Result<Option<Arc<AccountPlan>>> {
+    /// `MissingKey` if the route requires a key and `key` is `None`; `UnknownKey` if no account has this key.
+    pub fn account(&self, route: &RouteConfig, key: Option<&str>) -> Result<Option<Arc<AccountConfig>>> {
         let Some(accounts) = &self.accounts else {
             return Ok(None);
         };
@@ -76,22 +76,22 @@
     }
 }
 
-impl From<SitePlan> for SiteIndex {
-    fn from(plan: SitePlan) -> Self {
-        let mut routes: HashMap<Name, Vec<Arc<RoutePlan>>> = HashMap::new();
-        for route in plan.routes {
+impl From<SiteConfig> for SiteIndex {
+    fn from(config: SiteConfig) -> Self {
+        let mut routes: HashMap<Name, Vec<Arc<RouteConfig>>> = HashMap::new();
+        for route in config.routes {
             routes.entry(Name::clone(&route.host)).or_default().push(Arc::new(route));
         }
         for routes in routes.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
-        let services = plan.services.into_iter().map(|service| (Name::clone(&service.name), service)).collect();
-        let accounts = plan.accounts.map(index_accounts);
-        Self { version: plan.version, limits: plan.limits, routes, services, accounts }
+        let services = config.services.into_iter().map(|service| (Name::clone(&service.name), service)).collect();
+        let accounts = config.accounts.map(index_accounts);
+        Self { version: config.version, limits: config.limits, routes, services, accounts }
     }
 }
 
-fn index_accounts(accounts: Vec<AccountPlan>) -> HashMap<Name, Arc<AccountPlan>> {
+fn index_accounts(accounts: Vec<AccountConfig>) -> HashMap<Name, Arc<AccountConfig>> {
     let mut index = HashMap::new();
     for account in accounts {
         let account = Arc::new(account);
@@ -102,8 +102,8 @@
     index
 }
 
-/// A host as routes name it: lower case, without a port.
-fn plain_host(host: &str) -> String {
+/// Normalizes a host name to the form used in routes: lower case, without a port.
+fn normalize_host(host: &str) -> String {
     let name = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
         _ => host,
--- a/crates/hollyhook_core/src/stream/liveness_checker.rs
+++ b/crates/hollyhook_core/src/stream/liveness_checker.rs
@@ -46,7 +46,7 @@
             Some(run) if run.events > delivered + MAX_EVENTS_IN_FLIGHT => true,
             Some(_) if delivered > 0 => reaches_limit(&mut self.stalled, MAX_STALLED_REPORTS),
             Some(_) => reaches_limit(&mut self.queued, MAX_QUEUED_REPORTS),
-            None if report.has_unread() => reaches_limit(&mut self.queued, MAX_QUEUED_REPORTS),
+            None if report.has_pending_prompts() => reaches_limit(&mut self.queued, MAX_QUEUED_REPORTS),
             None => reaches_limit(&mut self.absent, MAX_ABSENT_REPORTS),
         };
         if is_lost { LivenessVerdict::Abandon } else { LivenessVerdict::Wait }
--- a/crates/hollyhook_core/tests/gateway/contact.rs
+++ b/crates/hollyhook_core/tests/gateway/contact.rs
@@ -81,7 +81,7 @@
     for bound in [3_000, 4_000, 5_000] {
         for answered in (8_000..14_000).step_by(50) {
             let grace_start = away_since(8_000).note_answer(at(answered), millis(bound)).unwrap();
-            let removed_at = (grace_start + EndpointMembership::RETURN_GRACE).max(at(answered));
+            let removed_at = (grace_start + EndpointMembership::RECOVERY_GRACE).max(at(answered));
             let due = at(8_000) + millis(bound - 500);
             assert!(removed_at <= due.max(at(answered)), "answered at {answered}, kept until {removed_at:?}");
         }
--- a/crates/hollyhook_core/tests/gateway/membership.rs
+++ b/crates/hollyhook_core/tests/gateway/membership.rs
@@ -11,29 +11,29 @@
 #[test]
 fn mark_missing_at_once() {
     let mut membership = EndpointMembership::default();
-    assert!(membership.is_gone(at(5), &id("a")));
+    assert!(membership.mark_missing(at(5), &id("a")));
 }
 
 #[test]
 fn mark_missing_in_grace_period() {
     let mut membership = EndpointMembership::default();
-    membership.platform_back(at(1_000));
-    assert!(!membership.is_gone(at(1_000), &id("a")));
-    assert!(!membership.is_gone(at(1_500), &id("b")));
-    assert!(membership.lapsed(at(3_000)).is_empty());
-    membership.present(&id("a"));
-    assert_eq!(membership.lapsed(at(3_250)), [id("b")]);
-    assert!(membership.lapsed(at(9_000)).is_empty(), "each is returned once");
-    assert!(membership.is_gone(at(3_300), &id("a")), "the grace period is over");
+    membership.platform_recovered(at(1_000));
+    assert!(!membership.mark_missing(at(1_000), &id("a")));
+    assert!(!membership.mark_missing(at(1_500), &id("b")));
+    assert!(membership.take_expired(at(3_000)).is_empty());
+    membership.mark_present(&id("a"));
+    assert_eq!(membership.take_expired(at(3_250)), [id("b")]);
+    assert!(membership.take_expired(at(9_000)).is_empty(), "each is returned once");
+    assert!(membership.mark_missing(at(3_300), &id("a")), "the grace period is over");
 }
 
 #[test]
 fn mark_missing_after_second_outage() {
     let mut membership = EndpointMembership::default();
-    membership.platform_back(at(1_000));
-    assert!(!membership.is_gone(at(1_000), &id("a")));
-    membership.platform_back(at(3_000));
-    assert!(!membership.is_gone(at(5_000), &id("b")));
+    membership.platform_recovered(at(1_000));
+    assert!(!membership.mark_missing(at(1_000), &id("a")));
+    membership.platform_recovered(at(3_000));
+    assert!(!membership.mark_missing(at(5_000), &id("b")));
 }
 
 const LIVE: EndpointState = EndpointState::Live;
@@ -44,9 +44,9 @@
 #[test]
 fn is_outdated_removed_entry() {
     let mut membership = EndpointMembership::default();
-    assert!(membership.is_gone(at(1_000), &id("a")));
+    assert!(membership.mark_missing(at(1_000), &id("a")));
     assert!(!membership.is_outdated(at(1_500), &id("a"), None, LIVE), "the platform was not restored");
-    membership.platform_older(at(2_000));
+    membership.platform_rolled_back(at(2_000));
     assert!(membership.is_outdated(at(2_000), &id("a"), None, LIVE));
     assert!(!membership.is_outdated(at(2_000), &id("b"), None, LIVE), "not known to have left");
     assert!(
@@ -59,7 +59,7 @@
 fn is_outdated_leaving_entry() {
     let mut membership = EndpointMembership::default();
     assert!(!membership.is_outdated(at(1_000), &id("a"), Some(LEAVING), LIVE), "its own later statement");
-    membership.platform_older(at(2_000));
+    membership.platform_rolled_back(at(2_000));
     assert!(membership.is_outdated(at(2_000), &id("a"), Some(LEAVING), LIVE));
     assert!(!membership.is_outdated(at(2_000), &id("a"), Some(LEAVING), LEAVING));
     assert!(!membership.is_outdated(at(2_000), &id("a"), Some(LIVE), LIVE));
@@ -69,8 +69,8 @@
 #[test]
 fn is_outdated_not_after_return() {
     let mut membership = EndpointMembership::default();
-    assert!(membership.is_gone(at(1_000), &id("a")));
-    membership.present(&id("a"));
-    membership.platform_older(at(2_000));
+    assert!(membership.mark_missing(at(1_000), &id("a")));
+    membership.mark_present(&id("a"));
+    membership.platform_rolled_back(at(2_000));
     assert!(!membership.is_outdated(at(2_000), &id("a"), None, LIVE));
 }
--- a/crates/hollyhook_gateway/src/forward/attempt.rs
+++ b/crates/hollyhook_gateway/src/forward/attempt.rs
@@ -79,7 +79,7 @@
 
 impl Drop for EndpointSlot {
     fn drop(&mut self) {
-        self.context.endpoints.table().closed(&self.target.id);
+        self.context.endpoints.table().record_close(&self.target.id);
     }
 }
 
--- a/crates/hollyhook_gateway/src/forward/engine_choice.rs
+++ b/crates/hollyhook_gateway/src/forward/engine_choice.rs
@@ -5,8 +5,9 @@
 
 use futures::future::join;
 use hollyhook_core::{
-    EndpointId, EndpointRecord, EndpointState, EngineCandidate, HomeCounts, Name, RouteQuery, StopReason, VersionRule,
-    ZoneName, choose_copy, choose_engine, excess_wait, has_holder, is_settled, place_held,
+    EndpointId, EndpointRecord, EndpointState, EngineCandidate, HolderLimits, Name, RouteQuery, StopReason,
+    VersionRule, ZoneName, choose_backup_engine, choose_engine, excess_wait, has_holder, is_certain_choice,
+    place_held_prompt,
 };
 use hollyhook_platform::BackupSource;
 use rand::Rng;
@@ -22,9 +23,9 @@
 
 /// Number of engines, in the own zone and in each other zone, that are probed first for the prompt of a generation
 /// whose caller comes back. Most such generations last ran at one of these.
-const FIRST_HOLDER_LIMITS: HomeCounts = HomeCounts { own: 3, far: 1 };
+const FIRST_HOLDER_LIMITS: HolderLimits = HolderLimits { own_zone: 3, other_zone: 1 };
 /// Number of engines, in the own zone and in each other zone, that are probed if none of the first holds the prompt.
-const ALL_HOLDER_LIMITS: HomeCounts = HomeCounts { own: 6, far: 3 };
+const ALL_HOLDER_LIMITS: HolderLimits = HolderLimits { own_zone: 6, other_zone: 3 };
 
 /// How long a connection to an engine of another zone must have been idle for that engine to be preferred as the holder
 /// of a copy. A host that starts a generation every 3 s then probes the same two engines each time. A host that starts
@@ -115,7 +116,7 @@
             let rest = self.probe_likely_holders(part, ALL_HOLDER_LIMITS, &holders).await;
             holders.extend(rest);
         }
-        let placement = place_held(&holders, self.needed_tokens(), &self.context.zone)?;
+        let placement = place_held_prompt(&holders, self.needed_tokens(), &self.context.zone)?;
         let (record, holder) = (&placement.candidate.record, &placement.holder.record);
         tracing::info!(request = %self.caller.head.attempt_id, endpoint = %holder.id,
             tokens = placement.holder.held_tokens, is_fetched = placement.is_fetched(), "prompt.found");
@@ -137,10 +138,10 @@
     async fn probe_likely_holders(
         &self,
         part: u64,
-        counts: HomeCounts,
+        counts: HolderLimits,
         probed: &[EngineCandidate],
     ) -> Vec<EngineCandidate> {
-        let mut holders = self.context.endpoints.homes(&self.query(), self.rendezvous_key(), counts);
+        let mut holders = self.context.endpoints.likely_holders(&self.query(), self.rendezvous_key(), counts);
         holders.retain(|record| probed.iter().all(|candidate| candidate.record.id != record.id));
         let mut candidates = probe_holdings(self.context, holders, part).await;
         self.refresh(&mut candidates);
@@ -181,7 +182,7 @@
         // not be used.
         rest.retain(|record| second.iter().all(|listed| listed.id != record.id));
         let (mut probed, other_zones) = join(probe_all(self.context, first), probe_all(self.context, second)).await;
-        if !probed.first().is_some_and(|best| is_settled(best, self.needed_tokens())) {
+        if !probed.first().is_some_and(|best| is_certain_choice(best, self.needed_tokens())) {
             probed.extend(probe_all(self.context, rest).await);
         }
         (probed, other_zones)
@@ -239,7 +240,7 @@
     pub(super) async fn choose_backup(&self, run_target: &EndpointTarget) -> Option<EndpointTarget> {
         let record = self.context.endpoints.table().get(&run_target.id).cloned()?;
         let candidates = probe_all(self.context, self.list_other_zones(&record)).await;
-        let best = choose_copy(&candidates, self.needed_tokens())?;
+        let best = choose_backup_engine(&candidates, self.needed_tokens())?;
         Some(EndpointTarget::from(&best.record))
     }
 
@@ -253,7 +254,7 @@
             return None;
         }
         let other_zones = candidates.iter().filter(|candidate| candidate.record.zone != slot.target.zone);
-        let best = choose_copy(other_zones, self.needed_tokens())?;
+        let best = choose_backup_engine(other_zones, self.needed_tokens())?;
         let attempt_id = Name::clone(&self.caller.head.attempt_id);
         let source = BackupSource { address: best.record.address, name: attempt_id };
         Some(BackupLocation { id: EndpointId::clone(&best.record.id), source, is_on_demand: false })
@@ -263,9 +264,9 @@
     /// slots.
     fn query(&self) -> RouteQuery<'_> {
         let query = RouteQuery::new(&self.caller.service).avoid(self.tried).versions(self.versions);
-        let query = query.repeatable(self.caller.route.has_second_attempt());
+        let query = query.repeatable(self.caller.route.is_retryable());
         match self.caller.engine {
-            Some(engine) => query.places((engine.capacity_tokens / self.needed_tokens()).max(1) as u32),
+            Some(engine) => query.slots((engine.capacity_tokens / self.needed_tokens()).max(1) as u32),
             None => query,
         }
     }
--- a/crates/hollyhook_gateway/src/front/admission.rs
+++ b/crates/hollyhook_gateway/src/front/admission.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollyhook_core::{AccountPlan, Error, ErrorKind, Name, Result, RoutePlan, SiteIndex};
+use hollyhook_core::{AccountConfig, Error, ErrorKind, Name, Result, RouteConfig, SiteIndex};
 use http::Method;
 use http::header::HOST;
 use http::request::Parts;
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-fn find_route(site: &SiteIndex, parts: &Parts) -> Result<Arc<RoutePlan>> {
+fn find_route(site: &SiteIndex, parts: &Parts) -> Result<Arc<RouteConfig>> {
     let mut hosts = parts.headers.get_all(HOST).iter();
     let host = hosts.next().and_then(|host| host.to_str().ok());
     let host = host.or_else(|| parts.uri.host());
@@ -83,10 +83,10 @@
 
 fn find_account(
     site: &SiteIndex,
-    route: &RoutePlan,
+    route: &RouteConfig,
     key: Option<&Name>,
     context: &GatewayContext,
-) -> Result<Option<Arc<AccountPlan>>> {
+) -> Result<Option<Arc<AccountConfig>>> {
     if !route.is_public && !context.is_site_current() {
         return Err(unconfirmed_error(Some(route)));
     }
@@ -100,14 +100,14 @@
     if context.is_site_current() { error } else { unconfirmed_error(None) }
 }
 
-fn unconfirmed_error(route: Option<&RoutePlan>) -> Error {
+fn unconfirmed_error(route: Option<&RouteConfig>) -> Error {
     let why = "the platform has not confirmed this host's configuration for too long";
     let is_stream = route.is_some_and(|route| route.kind.is_stream());
     let retry = if is_stream { UNCONFIRMED_STREAM_RETRY } else { UNCONFIRMED_CALL_RETRY };
     Error::new(ErrorKind::PlatformDown, why).retry_after(retry)
 }
 
-fn check_not_stopping(route: &RoutePlan, wait_limit: Duration, context: &GatewayContext) -> Result<()> {
+fn check_not_stopping(route: &RouteConfig, wait_limit: Duration, context: &GatewayContext) -> Result<()> {
     if context.is_taking(route.kind, wait_limit) {
         return Ok(());
     }
@@ -115,7 +115,7 @@
     Err(Error::new(ErrorKind::Draining, why).retry_after(STOPPING_RETRY))
 }
 
-fn pick_service(route: &RoutePlan) -> Result<Name> {
+fn pick_service(route: &RouteConfig) -> Result<Name> {
     let total = route.total_weight();
     let draw = if total > 1 { rand::rng().random_range(0..total) } else { 0 };
     route.service(draw).ok_or_else(|| {
