--- a/crates/hollyhook_command/src/load/slopes.rs
+++ b/crates/hollyhook_command/src/load/slopes.rs
@@ -7,7 +7,7 @@
 use clap::Args;
 use eyre::{OptionExt, Result};
 use hollyhook_core::{
-    AttemptNumber, ClaimEvent, ClaimOrder, ClaimPolicy, ClaimRecord, ClaimShard, CursorKey, CursorSeal, EndpointId,
+    AttemptNumber, ClaimCommand, ClaimEvent, ClaimPolicy, ClaimRecord, ClaimShard, CursorKey, CursorSeal, EndpointId,
     EndpointRecord, EndpointTable, GenerationId, GenerationRelay, ModelBinding, Name, PrefixDigest, RelayEvent,
     RelayPolicy, RouteQuery, StreamCursor, TimePoint, ZoneName,
 };
@@ -286,7 +286,7 @@
     let mut shard = ClaimShard::new(ClaimPolicy::default());
     let mut version = 0;
     let mut order = |number: u32| {
-        shard.on(1_000, ClaimEvent::Ordered(ClaimOrder::Claim(claim(number))));
+        shard.on(1_000, ClaimEvent::Submitted(ClaimCommand::Claim(claim(number))));
         version += 1;
         shard.on(1_000, ClaimEvent::Written { version });
     };
--- a/crates/hollyhook_core/src/call/claim_shard.rs
+++ b/crates/hollyhook_core/src/call/claim_shard.rs
@@ -6,7 +6,7 @@
 
 /// What is asked of a shard of claims.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ClaimOrder {
+pub enum ClaimCommand {
     /// Claim a key for a call that is about to be sent.
     Claim(ClaimRecord),
     /// Keep the answer of a call for a repeat.
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimEvent {
     /// Something is asked.
-    Ordered(ClaimOrder),
+    Submitted(ClaimCommand),
     /// The write that `Put` asked for took effect.
     Written {
         /// The version that it made.
@@ -40,7 +40,7 @@
     },
     /// The read failed.
     LoadFailed,
-    /// The time that `Wake` asked for has come.
+    /// The time that `SetTimer` asked for has come.
     TimerFired,
 }
 
@@ -57,7 +57,7 @@
     /// Read the object.
     Load,
     /// Tell whoever made a claim what the platform says of it.
-    Settle {
+    Resolve {
         /// The claim's name.
         claim: Name,
         /// What the ledger says; `Free` means that it had no room.
@@ -71,7 +71,7 @@
         refusal: ClaimRefusal,
     },
     /// Fire a timer after that long.
-    Wake {
+    SetTimer {
         /// How long.
         after: Duration,
     },
@@ -90,14 +90,14 @@
 
 /// Claims keys in one object of the platform, many in one write, on the condition that nobody wrote it since.
 ///
-/// A call may be sent only after `Settle` with `Own`, which is said only of a ledger that the platform holds.
+/// A call may be sent only after `Resolve` with `Own`, which is said only of a ledger that the platform holds.
 #[derive(Debug)]
 pub struct ClaimShard {
     policy: ClaimPolicy,
     ledger: ClaimLedger,
     version: Option<u64>,
-    queue: VecDeque<ClaimOrder>,
-    batch: Vec<ClaimOrder>,
+    queue: VecDeque<ClaimCommand>,
+    batch: Vec<ClaimCommand>,
     written: Option<ClaimLedger>,
     conflicts: u32,
     /// Claims that may stand in the platform though their calls were refused.
@@ -154,7 +154,7 @@
     /// Takes one event and says what to do; `now` is in Unix seconds.
     pub fn on(&mut self, now: u64, event: ClaimEvent) -> Vec<ClaimAction> {
         match event {
-            ClaimEvent::Ordered(order) => self.ordered(now, order),
+            ClaimEvent::Submitted(order) => self.submit(now, order),
             ClaimEvent::Written { version } => self.wrote(now, version),
             ClaimEvent::Conflicted | ClaimEvent::Unanswered => self.reload(),
             ClaimEvent::Unavailable => self.give_up(now, ClaimRefusal::Unavailable),
@@ -165,7 +165,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    fn ordered(&mut self, now: u64, order: ClaimOrder) {
+    fn submit(&mut self, now: u64, order: ClaimCommand) {
         self.queue.push_back(order);
         if self.batch.is_empty() {
             self.begin(now);
@@ -202,23 +202,23 @@
         ledger.forget_answers(now.saturating_sub(self.policy.answer_age.as_secs()));
         // Keys that are given back come first: a claim of the same batch may be on one of them.
         for order in &self.batch {
-            if let ClaimOrder::Release(record) = order {
+            if let ClaimCommand::Release(record) = order {
                 ledger.release(&record.claim);
             }
         }
         for order in &self.batch {
             match order {
-                ClaimOrder::Claim(record) => {
+                ClaimCommand::Claim(record) => {
                     if ledger.judge(record) == ClaimVerdict::Free && ledger.len() < self.policy.max_claims {
                         ledger.put(record.clone());
                     }
                 }
-                ClaimOrder::Answer(record) => {
+                ClaimCommand::Answer(record) => {
                     if ledger.judge(record) == ClaimVerdict::Own {
                         ledger.put(record.clone());
                     }
                 }
-                ClaimOrder::Release(_) => {}
+                ClaimCommand::Release(_) => {}
             }
         }
         ledger
@@ -258,9 +258,9 @@
     fn settle(&mut self) {
         self.written = None;
         for order in std::mem::take(&mut self.batch) {
-            if let ClaimOrder::Claim(record) = order {
+            if let ClaimCommand::Claim(record) = order {
                 let verdict = self.ledger.judge(&record);
-                self.actions.push(ClaimAction::Settle { claim: record.claim, verdict });
+                self.actions.push(ClaimAction::Resolve { claim: record.claim, verdict });
             }
         }
     }
@@ -270,26 +270,26 @@
         self.written = None;
         for order in std::mem::take(&mut self.batch) {
             match order {
-                ClaimOrder::Claim(record) => {
+                ClaimCommand::Claim(record) => {
                     self.actions.push(ClaimAction::Refuse { claim: Name::clone(&record.claim), refusal });
                     // An earlier write of the same batch may have been the one without an answer.
                     if refusal == ClaimRefusal::Unanswered || self.conflicts > 0 {
                         self.releases.push(record);
                     }
                 }
-                ClaimOrder::Release(record) => self.releases.push(record),
-                ClaimOrder::Answer(_) => {}
+                ClaimCommand::Release(record) => self.releases.push(record),
+                ClaimCommand::Answer(_) => {}
             }
         }
         if !self.releases.is_empty() {
-            self.actions.push(ClaimAction::Wake { after: self.policy.release_pause });
+            self.actions.push(ClaimAction::SetTimer { after: self.policy.release_pause });
         }
         self.begin(now);
     }
 
     fn retry_releases(&mut self, now: u64) {
         let releases = std::mem::take(&mut self.releases);
-        self.queue.extend(releases.into_iter().map(ClaimOrder::Release));
+        self.queue.extend(releases.into_iter().map(ClaimCommand::Release));
         if self.batch.is_empty() {
             self.begin(now);
         }
--- a/crates/hollyhook_core/src/call/mod.rs
+++ b/crates/hollyhook_core/src/call/mod.rs
@@ -6,4 +6,4 @@
 
 pub use call_guard::{CallAction, CallEvent, CallGuard, CallOutcome};
 pub use claim_ledger::{ClaimAnswer, ClaimLedger, ClaimRecord, ClaimVerdict};
-pub use claim_shard::{ClaimAction, ClaimEvent, ClaimOrder, ClaimPolicy, ClaimRefusal, ClaimShard};
+pub use claim_shard::{ClaimAction, ClaimCommand, ClaimEvent, ClaimPolicy, ClaimRefusal, ClaimShard};
--- a/crates/hollyhook_core/src/error/answer_table.rs
+++ b/crates/hollyhook_core/src/error/answer_table.rs
@@ -17,11 +17,11 @@
     /// How far the request got, unless the error itself knows better.
     pub run: RunState,
     /// Whether the answer says when to come back.
-    pub has_retry: bool,
+    pub has_retry_after: bool,
 }
 
-const fn answer(status: u16, class: &'static str, code: &'static str, run: RunState, has_retry: bool) -> Answer {
-    Answer { status, class, code, run, has_retry }
+const fn answer(status: u16, class: &'static str, code: &'static str, run: RunState, has_retry_after: bool) -> Answer {
+    Answer { status, class, code, run, has_retry_after }
 }
 
 /// The answer for each kind of error.
--- a/crates/hollyhook_core/src/error/error_kind.rs
+++ b/crates/hollyhook_core/src/error/error_kind.rs
@@ -107,8 +107,8 @@
     ];
 
     /// Whether its answer says when to come back.
-    pub const fn has_retry(self) -> bool {
-        crate::answer_for(self).has_retry
+    pub const fn has_retry_after(self) -> bool {
+        crate::answer_for(self).has_retry_after
     }
 }
 
--- a/crates/hollyhook_core/src/lib.rs
+++ b/crates/hollyhook_core/src/lib.rs
@@ -23,7 +23,7 @@
 mod trace;
 
 pub use call::{
-    CallAction, CallEvent, CallGuard, CallOutcome, ClaimAction, ClaimAnswer, ClaimEvent, ClaimLedger, ClaimOrder,
+    CallAction, CallEvent, CallGuard, CallOutcome, ClaimAction, ClaimAnswer, ClaimCommand, ClaimEvent, ClaimLedger,
     ClaimPolicy, ClaimRecord, ClaimRefusal, ClaimShard, ClaimVerdict,
 };
 pub use cursor::{CursorKey, CursorSeal, StreamCursor};
@@ -40,11 +40,11 @@
     PrefixDigest, ProbeReport, RelayAction, RelayEvent, RelayNote, RelayPhase, RelayPolicy, TokenLog,
 };
 pub use name::{AccountName, EndpointId, ModelBinding, Name, ZoneName};
-pub use quarantine::{CrashLedger, CrashRecord, CrashRecords, DigestError, LedgerChange, RequestDigest};
-pub use retry::{ProbeGate, ProbePlace, ProbeRelease, ResumeGate, ResumeTicket, RetryBudget, RetryWindow};
+pub use quarantine::{CrashLedger, CrashRecord, CrashRecords, DigestError, QuarantineChange, RequestDigest};
+pub use retry::{ProbeAdmission, ProbeGate, ProbeRelease, ResumeGate, ResumeTicket, RetryBudget, RetryWindow};
 pub use rollout::{
     RolloutOrder, RolloutPlan, RolloutState, RolloutStep, TargetShare, TimeTally, TrialEvidence, VersionFault,
-    VersionRule, VersionTally, VersionVerdict, judge_version,
+    VersionFilter, VersionTally, VersionVerdict, evaluate_version,
 };
 pub use route::{
     EndpointMembership, EndpointRecord, EndpointState, EndpointSubset, EndpointTable, EngineCandidate, EngineReport,
--- a/crates/hollyhook_core/src/quarantine/crash_ledger.rs
+++ b/crates/hollyhook_core/src/quarantine/crash_ledger.rs
@@ -2,7 +2,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::break_list::BreakList;
+use super::unanswered_list::UnansweredList;
 use super::{CrashRecord, RequestDigest};
 use crate::Name;
 
@@ -42,7 +42,7 @@
     /// What the platform's store holds, as far as this host has heard.
     stored: CrashRecords,
     refused: BTreeSet<RequestDigest>,
-    breaks: BreakList,
+    breaks: UnansweredList,
 }
 
 #[derive(Debug, Default)]
@@ -56,7 +56,7 @@
 
 /// The requests that a change made refused, and those that it cleared.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct LedgerChange {
+pub struct QuarantineChange {
     /// Refused from now on.
     pub refused: Vec<RequestDigest>,
     /// Served again.
@@ -70,21 +70,21 @@
     }
 
     /// Notes that an endpoint ended under a request.
-    pub fn note_end(&mut self, now: u64, digest: RequestDigest, endpoint: Name) -> LedgerChange {
+    pub fn record_crash(&mut self, now: u64, digest: RequestDigest, endpoint: Name) -> QuarantineChange {
         self.count_end(digest, endpoint, now, false);
         self.judge(now)
     }
 
     /// Notes that an endpoint left a request without an answer, and may have ended.
     ///
-    /// It counts once [`note_gone`](Self::note_gone) tells so, unless an endpoint has run the request meanwhile.
-    pub fn note_break(&mut self, now: u64, digest: RequestDigest, endpoint: Name) {
+    /// It counts once [`confirm_crash`](Self::confirm_crash) tells so, unless an endpoint has run the request meanwhile.
+    pub fn record_unanswered(&mut self, now: u64, digest: RequestDigest, endpoint: Name) {
         self.breaks.note(now, digest, endpoint);
     }
 
     /// Notes that an endpoint is gone without having said that it leaves: requests that it had left without an answer
     /// just before may have ended it.
-    pub fn note_gone(&mut self, now: u64, endpoint: &str) -> LedgerChange {
+    pub fn confirm_crash(&mut self, now: u64, endpoint: &str) -> QuarantineChange {
         for known in self.breaks.take(now, endpoint) {
             self.count_end(known.digest, known.endpoint, known.at, known.is_given_up);
         }
@@ -92,25 +92,25 @@
     }
 
     /// Forgets breaks that nothing explained in time.
-    pub fn forget_breaks(&mut self, now: u64) {
+    pub fn expire_unanswered(&mut self, now: u64) {
         self.breaks.forget_old(now);
     }
 
     /// Notes that a request is no longer tried here, whatever became of it.
     ///
     /// Where each client attempt is sent only once, no host sees more than one end at a time.
-    pub fn note_given_up(&mut self, digest: &RequestDigest) {
-        self.breaks.note_given_up(digest);
+    pub fn record_given_up(&mut self, digest: &RequestDigest) {
+        self.breaks.record_given_up(digest);
         if let Some(entry) = self.entries.get_mut(digest) {
             entry.is_told |= entry.record.suspected().next().is_some();
         }
     }
 
     /// Notes that an endpoint ran a request and did not end.
-    pub fn note_survival(&mut self, now: u64, digest: &RequestDigest) -> LedgerChange {
+    pub fn record_survival(&mut self, now: u64, digest: &RequestDigest) -> QuarantineChange {
         self.breaks.forget(digest);
         let Some(entry) = self.entries.get_mut(digest) else {
-            return LedgerChange::default();
+            return QuarantineChange::default();
         };
         entry.record.survived_at = now;
         if !entry.is_told {
@@ -120,10 +120,10 @@
     }
 
     /// Takes in what the platform's store holds.
-    pub fn learn(&mut self, now: u64, stored: CrashRecords) -> LedgerChange {
+    pub fn merge_stored(&mut self, now: u64, stored: CrashRecords) -> QuarantineChange {
         for (digest, record) in &stored {
             let entry = self.entries.entry(*digest).or_default();
-            entry.record.join(record);
+            entry.record.merge(record);
             entry.is_told = true;
         }
         self.stored = stored;
@@ -135,14 +135,14 @@
     /// Each host writes what it saw itself. What is missing there of what others saw, since it went with an entry or the
     /// store came back from an older copy of itself, is written again by those who read the store for others
     /// (`is_reader`): a few hosts at any size of a site.
-    pub fn untold(&self, is_reader: bool) -> Option<CrashRecords> {
+    pub fn records_to_write(&self, is_reader: bool) -> Option<CrashRecords> {
         let told = self.entries.iter().filter(|(_, entry)| entry.is_told);
         let records = || told.map(|(digest, entry)| (*digest, entry.record.clone())).collect();
-        self.is_untold(is_reader).then(records)
+        self.has_records_to_write(is_reader).then(records)
     }
 
     /// Whether this host is to write anything.
-    pub fn is_untold(&self, is_reader: bool) -> bool {
+    pub fn has_records_to_write(&self, is_reader: bool) -> bool {
         let told = self.entries.iter().filter(|(_, entry)| entry.is_told && (entry.is_own || is_reader));
         told.into_iter().any(|(digest, entry)| self.stored.get(digest) != Some(&entry.record))
     }
@@ -154,7 +154,7 @@
 
     /// When the caller of a request that is refused should come back; none if it is served.
     ///
-    /// Soon, as long as what others saw may yet explain the ends: then another request has done it. After that, when the request
+    /// Soon, as long as what others saw may yet explain the crashes: then another request has done it. After that, when the request
     /// would be tried again.
     pub fn refusal(&self, now: u64, digest: &RequestDigest) -> Option<Duration> {
         let entry = self.entries.get(digest).filter(|_| self.refused.contains(digest))?;
@@ -165,15 +165,15 @@
 
     fn count_end(&mut self, digest: RequestDigest, endpoint: Name, at: u64, is_given_up: bool) {
         let entry = self.entries.entry(digest).or_default();
-        entry.record.ends.insert(endpoint, at);
+        entry.record.crashes.insert(endpoint, at);
         entry.is_own = true;
         entry.is_told |= is_given_up || entry.record.suspected().count() >= TOLD_FROM;
     }
 
-    fn judge(&mut self, now: u64) -> LedgerChange {
+    fn judge(&mut self, now: u64) -> QuarantineChange {
         self.forget_old(now);
         let refused = self.find_guilty();
-        let change = LedgerChange {
+        let change = QuarantineChange {
             refused: refused.difference(&self.refused).copied().collect(),
             cleared: self.refused.difference(&refused).copied().collect(),
         };
--- a/crates/hollyhook_core/src/quarantine/crash_record.rs
+++ b/crates/hollyhook_core/src/quarantine/crash_record.rs
@@ -9,16 +9,16 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CrashRecord {
     /// When each endpoint ended, by its incarnation.
-    pub ends: BTreeMap<Name, u64>,
+    pub crashes: BTreeMap<Name, u64>,
     /// When an endpoint last ran it without ending; zero if none did.
     pub survived_at: u64,
 }
 
 impl CrashRecord {
     /// Takes in what another record of the same request says.
-    pub fn join(&mut self, other: &Self) {
-        for (endpoint, at) in &other.ends {
-            let known = self.ends.entry(Name::clone(endpoint)).or_default();
+    pub fn merge(&mut self, other: &Self) {
+        for (endpoint, at) in &other.crashes {
+            let known = self.crashes.entry(Name::clone(endpoint)).or_default();
             *known = (*known).max(*at);
         }
         self.survived_at = self.survived_at.max(other.survived_at);
@@ -26,11 +26,11 @@
 
     /// The endpoints that ended since the request last did no harm.
     pub(super) fn suspected(&self) -> impl Iterator<Item = &Name> {
-        self.ends.iter().filter(|(_, at)| **at > self.survived_at).map(|(endpoint, _)| endpoint)
+        self.crashes.iter().filter(|(_, at)| **at > self.survived_at).map(|(endpoint, _)| endpoint)
     }
 
     /// When anything about it was last noted.
     pub(super) fn noted_at(&self) -> u64 {
-        self.ends.values().copied().fold(self.survived_at, u64::max)
+        self.crashes.values().copied().fold(self.survived_at, u64::max)
     }
 }
--- a/crates/hollyhook_core/src/quarantine/break_list.rs
+++ b/crates/hollyhook_core/src/quarantine/unanswered_list.rs
@@ -9,7 +9,7 @@
 
 /// A request that an endpoint left without an answer.
 #[derive(Debug)]
-pub(super) struct RequestBreak {
+pub(super) struct UnansweredRequest {
     pub(super) digest: RequestDigest,
     pub(super) endpoint: Name,
     /// The Unix millisecond.
@@ -20,11 +20,11 @@
 
 /// Breaks of which it is not known whether the endpoint ended: links break too, and endpoints fall silent for a while.
 #[derive(Debug, Default)]
-pub(super) struct BreakList {
-    breaks: Vec<RequestBreak>,
+pub(super) struct UnansweredList {
+    breaks: Vec<UnansweredRequest>,
 }
 
-impl BreakList {
+impl UnansweredList {
     pub(super) fn is_empty(&self) -> bool {
         self.breaks.is_empty()
     }
@@ -32,12 +32,12 @@
     pub(super) fn note(&mut self, now: u64, digest: RequestDigest, endpoint: Name) {
         self.forget_old(now);
         if self.breaks.len() < MOST_BREAKS {
-            self.breaks.push(RequestBreak { digest, endpoint, at: now, is_given_up: false });
+            self.breaks.push(UnansweredRequest { digest, endpoint, at: now, is_given_up: false });
         }
     }
 
     /// Takes out the breaks that the end of an endpoint explains.
-    pub(super) fn take(&mut self, now: u64, endpoint: &str) -> Vec<RequestBreak> {
+    pub(super) fn take(&mut self, now: u64, endpoint: &str) -> Vec<UnansweredRequest> {
         self.forget_old(now);
         self.breaks.extract_if(.., |known| *known.endpoint == *endpoint).collect()
     }
@@ -47,7 +47,7 @@
         self.breaks.retain(|known| known.digest != *digest);
     }
 
-    pub(super) fn note_given_up(&mut self, digest: &RequestDigest) {
+    pub(super) fn record_given_up(&mut self, digest: &RequestDigest) {
         for known in self.breaks.iter_mut().filter(|known| known.digest == *digest) {
             known.is_given_up = true;
         }
--- a/crates/hollyhook_core/src/retry/mod.rs
+++ b/crates/hollyhook_core/src/retry/mod.rs
@@ -5,7 +5,7 @@
 mod retry_budget;
 mod retry_window;
 
-pub use probe_gate::{ProbeGate, ProbePlace, ProbeRelease};
+pub use probe_gate::{ProbeAdmission, ProbeGate, ProbeRelease};
 pub use resume_gate::{ResumeGate, ResumeTicket};
 pub use retry_budget::RetryBudget;
 pub use retry_window::RetryWindow;
--- a/crates/hollyhook_core/src/retry/probe_gate.rs
+++ b/crates/hollyhook_core/src/retry/probe_gate.rs
@@ -4,20 +4,20 @@
 
 /// Whether a probe may go out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ProbePlace {
+pub enum ProbeAdmission {
     /// It may go out now.
-    Open,
+    Admitted,
     /// It waits for a place, or for what another one finds.
-    Waiting,
+    Queued,
 }
 
 /// What became of probes that waited when one ended.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ProbeRelease {
     /// These may go out now.
-    pub opened: Vec<u64>,
+    pub admitted: Vec<u64>,
     /// These need not: the endpoint does not answer.
-    pub answered_dead: Vec<u64>,
+    pub found_dead: Vec<u64>,
 }
 
 /// Bounds the probes to each endpoint, and lets one that finds it dead answer for all that wait.
@@ -43,14 +43,14 @@
     }
 
     /// Asks for a place; `probe` names the probe.
-    pub fn enter(&mut self, endpoint: &EndpointId, probe: u64) -> ProbePlace {
+    pub fn enter(&mut self, endpoint: &EndpointId, probe: u64) -> ProbeAdmission {
         let slot = self.slots.entry(EndpointId::clone(endpoint)).or_default();
         if slot.running < self.limit {
             slot.running += 1;
-            return ProbePlace::Open;
+            return ProbeAdmission::Admitted;
         }
         slot.waiting.push_back(probe);
-        ProbePlace::Waiting
+        ProbeAdmission::Queued
     }
 
     /// Gives a place back with what the probe found.
@@ -61,13 +61,13 @@
         };
         slot.running = slot.running.saturating_sub(1);
         if is_dead {
-            release.answered_dead.extend(slot.waiting.drain(..));
+            release.found_dead.extend(slot.waiting.drain(..));
         }
         while slot.running < self.limit
             && let Some(probe) = slot.waiting.pop_front()
         {
             slot.running += 1;
-            release.opened.push(probe);
+            release.admitted.push(probe);
         }
         if slot.running == 0 {
             self.slots.remove(endpoint);
--- a/crates/hollyhook_core/src/rollout/mod.rs
+++ b/crates/hollyhook_core/src/rollout/mod.rs
@@ -3,13 +3,13 @@
 mod rollout_order;
 mod rollout_plan;
 mod trial_evidence;
-mod version_judge;
-mod version_rule;
+mod version_filter;
 mod version_tally;
+mod version_verdict;
 
 pub use rollout_order::{RolloutOrder, RolloutState};
 pub use rollout_plan::{RolloutPlan, RolloutStep, TargetShare};
 pub use trial_evidence::TrialEvidence;
-pub use version_judge::{VersionFault, VersionVerdict, judge_version};
-pub use version_rule::VersionRule;
+pub use version_filter::VersionFilter;
 pub use version_tally::{TimeTally, VersionTally};
+pub use version_verdict::{VersionFault, VersionVerdict, evaluate_version};
--- a/crates/hollyhook_core/src/rollout/rollout_plan.rs
+++ b/crates/hollyhook_core/src/rollout/rollout_plan.rs
@@ -16,13 +16,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetShare {
     /// None.
-    Nothing,
+    None,
     /// A small share.
     Trial,
     /// All of them.
-    Everything,
+    All,
     /// Its part, as any other version.
-    Any,
+    Unrestricted,
 }
 
 /// What is to be written of a roll-out next.
@@ -71,11 +71,11 @@
     /// Which of a service's requests the target gets now.
     pub fn share(&self, now: TimePoint) -> TargetShare {
         match self.state {
-            None | Some(RolloutState::RolledBack) => TargetShare::Nothing,
+            None | Some(RolloutState::RolledBack) => TargetShare::None,
             Some(RolloutState::Trial) => TargetShare::Trial,
-            Some(RolloutState::Moving) => TargetShare::Everything,
-            Some(RolloutState::Completed) if now.since(self.state_since) < OLD_GONE_AFTER => TargetShare::Everything,
-            Some(RolloutState::Completed) => TargetShare::Any,
+            Some(RolloutState::Moving) => TargetShare::All,
+            Some(RolloutState::Completed) if now.since(self.state_since) < OLD_GONE_AFTER => TargetShare::All,
+            Some(RolloutState::Completed) => TargetShare::Unrestricted,
         }
     }
 
--- a/crates/hollyhook_core/src/rollout/trial_evidence.rs
+++ b/crates/hollyhook_core/src/rollout/trial_evidence.rs
@@ -26,7 +26,7 @@
     }
 
     /// Adds what another host saw.
-    pub fn join(&mut self, other: &Self) {
+    pub fn merge(&mut self, other: &Self) {
         for (key, tally) in &other.target {
             *self.target.entry(key.clone()).or_default() += *tally;
         }
--- a/crates/hollyhook_core/src/rollout/version_rule.rs
+++ b/crates/hollyhook_core/src/rollout/version_filter.rs
@@ -6,7 +6,7 @@
 
 /// Which versions of a service a request may go to.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct VersionRule {
+pub struct VersionFilter {
     /// The only version, if it may go to one alone.
     pub only: Option<Name>,
     /// The only endpoints of it, if it may not go to all of them.
@@ -15,7 +15,7 @@
     pub except: BTreeSet<Name>,
 }
 
-impl VersionRule {
+impl VersionFilter {
     /// Any version.
     pub fn any() -> Self {
         Self::default()
--- a/crates/hollyhook_core/src/rollout/version_tally.rs
+++ b/crates/hollyhook_core/src/rollout/version_tally.rs
@@ -18,7 +18,7 @@
     const LEAST_MILLIS: f64 = 0.1;
 
     /// Counts one time.
-    pub fn note(&mut self, time: Duration) {
+    pub fn record(&mut self, time: Duration) {
         let log = (time.as_secs_f64() * 1_000.0).max(Self::LEAST_MILLIS).ln();
         self.count += 1;
         self.sum += log;
@@ -63,14 +63,14 @@
 
 impl VersionTally {
     /// Counts one answer.
-    pub fn note(&mut self, is_failure: bool, first: Option<Duration>, gap: Option<Duration>) {
+    pub fn record(&mut self, is_failure: bool, first: Option<Duration>, gap: Option<Duration>) {
         self.answers += 1;
         self.failures += u32::from(is_failure);
         if let Some(first) = first {
-            self.first.note(first);
+            self.first.record(first);
         }
         if let Some(gap) = gap {
-            self.gap.note(gap);
+            self.gap.record(gap);
         }
     }
 }
--- a/crates/hollyhook_core/src/rollout/version_judge.rs
+++ b/crates/hollyhook_core/src/rollout/version_verdict.rs
@@ -66,7 +66,7 @@
 /// Taken together and route by route, since a version may fail on one alone. Only what shows at more than one endpoint, if
 /// there are more, counts: an endpoint may be faulty by itself. Connections that broke are no evidence: whole zones
 /// lose theirs at once.
-pub fn judge_version(evidence: &TrialEvidence) -> VersionVerdict {
+pub fn evaluate_version(evidence: &TrialEvidence) -> VersionVerdict {
     let routes = evidence.routes();
     let slices =
         std::iter::once(evidence.clone()).chain(routes.iter().map(|name| evidence.on_routes(|route| route == *name)));
--- a/crates/hollyhook_core/src/route/route_query.rs
+++ b/crates/hollyhook_core/src/route/route_query.rs
@@ -1,5 +1,5 @@
 use super::{EndpointRecord, EndpointState};
-use crate::rollout::VersionRule;
+use crate::rollout::VersionFilter;
 use crate::{EndpointId, ModelBinding, ZoneName};
 
 /// What a request needs of an endpoint.
@@ -12,7 +12,7 @@
     pub(super) affinity: Option<u128>,
     pub(super) places: Option<u32>,
     pub(super) preferred: &'a [EndpointId],
-    versions: Option<&'a VersionRule>,
+    versions: Option<&'a VersionFilter>,
     is_repeatable: bool,
 }
 
@@ -62,7 +62,7 @@
 
     /// The same query for endpoints of the versions that a rule allows.
     #[must_use]
-    pub fn versions(mut self, rule: &'a VersionRule) -> Self {
+    pub fn versions(mut self, rule: &'a VersionFilter) -> Self {
         self.versions = Some(rule);
         self
     }
--- a/crates/hollyhook_core/tests/fuzz/call_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/call_fuzz.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use hollyhook_core::{
-    CallAction, CallEvent, CallGuard, CallOutcome, ClaimAction, ClaimEvent, ClaimLedger, ClaimOrder, ClaimPolicy,
+    CallAction, CallEvent, CallGuard, CallOutcome, ClaimAction, ClaimCommand, ClaimEvent, ClaimLedger, ClaimPolicy,
     ClaimRecord, ClaimShard, ClaimVerdict, EndpointId, Name, TimePoint,
 };
 use proptest::prelude::*;
@@ -124,7 +124,7 @@
         let guard = CallGuard::new(false, TimePoint::from_millis(10_000));
         let call = Call { record: record.clone(), guard, is_sending: false };
         self.hosts[host].calls.insert(Name::clone(&record.claim), call);
-        self.feed(host, ClaimEvent::Ordered(ClaimOrder::Claim(record)));
+        self.feed(host, ClaimEvent::Submitted(ClaimCommand::Claim(record)));
     }
 
     fn feed(&mut self, host: usize, event: ClaimEvent) {
@@ -134,12 +134,12 @@
                     self.hosts[host].pending.push_back(action);
                     assert_eq!(self.hosts[host].pending.len(), 1, "more than one call to the platform at a time");
                 }
-                ClaimAction::Settle { claim, verdict } => self.settle(host, &claim, &verdict),
+                ClaimAction::Resolve { claim, verdict } => self.settle(host, &claim, &verdict),
                 ClaimAction::Refuse { claim, .. } => {
                     self.tally.count("claim refused");
                     self.tell_not_run(host, &claim);
                 }
-                ClaimAction::Wake { .. } => {}
+                ClaimAction::SetTimer { .. } => {}
             }
         }
     }
@@ -226,7 +226,7 @@
             assert_eq!(action, Some(CallAction::Finish(CallOutcome::NotRun)));
             self.tally.count("call not run");
             self.tell_not_run(host, &record.claim);
-            return self.feed(host, ClaimEvent::Ordered(ClaimOrder::Release(record)));
+            return self.feed(host, ClaimEvent::Submitted(ClaimCommand::Release(record)));
         }
         call.guard.on(TimePoint::ZERO, CallEvent::Sending);
         let action = call.guard.on(TimePoint::ZERO, outcome.unwrap());
@@ -240,7 +240,7 @@
                 let mut record = record;
                 record.answer =
                     Some(hollyhook_core::ClaimAnswer { status: 200, content_type: "".into(), body: "".into() });
-                self.feed(host, ClaimEvent::Ordered(ClaimOrder::Answer(record)));
+                self.feed(host, ClaimEvent::Submitted(ClaimCommand::Answer(record)));
             }
             Some(CallAction::Finish(CallOutcome::Unknown)) => self.tally.count("call unknown"),
             other => panic!("a call that was sent may only be answered or unknown: {other:?}"),
--- a/crates/hollyhook_core/tests/fuzz/gate_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/gate_fuzz.rs
@@ -1,6 +1,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 
-use hollyhook_core::{EndpointId, ProbeGate, ProbePlace, ResumeGate, ResumeTicket, RetryBudget};
+use hollyhook_core::{EndpointId, ProbeAdmission, ProbeGate, ResumeGate, ResumeTicket, RetryBudget};
 use proptest::prelude::*;
 
 use crate::harness::fuzz;
@@ -50,18 +50,18 @@
             let probe = number as u64;
             if what < 2 {
                 match gate.enter(&names[endpoint], probe) {
-                    ProbePlace::Open => *running.get_mut(&endpoint).unwrap() += 1,
-                    ProbePlace::Waiting => assert_eq!(waiting.insert(probe, endpoint), None),
+                    ProbeAdmission::Admitted => *running.get_mut(&endpoint).unwrap() += 1,
+                    ProbeAdmission::Queued => assert_eq!(waiting.insert(probe, endpoint), None),
                 }
             } else if running[&endpoint] > 0 {
                 *running.get_mut(&endpoint).unwrap() -= 1;
                 let release = gate.leave(&names[endpoint], is_dead);
-                for probe in release.opened {
+                for probe in release.admitted {
                     assert_eq!(waiting.remove(&probe), Some(endpoint));
                     *running.get_mut(&endpoint).unwrap() += 1;
                 }
-                assert!(is_dead || release.answered_dead.is_empty());
-                for probe in release.answered_dead {
+                assert!(is_dead || release.found_dead.is_empty());
+                for probe in release.found_dead {
                     assert_eq!(waiting.remove(&probe), Some(endpoint));
                 }
             }
--- a/crates/hollyhook_core/tests/gateway/quarantine.rs
+++ b/crates/hollyhook_core/tests/gateway/quarantine.rs
@@ -14,16 +14,16 @@
 }
 
 /// A ledger in which endpoints ended under requests.
-fn ledger(ends: &[(&str, &[&str])]) -> CrashLedger {
+fn ledger(crashes: &[(&str, &[&str])]) -> CrashLedger {
     let mut ledger = CrashLedger::default();
-    note(&mut ledger, NOW, ends);
+    note(&mut ledger, NOW, crashes);
     ledger
 }
 
-fn note(ledger: &mut CrashLedger, now: u64, ends: &[(&str, &[&str])]) {
-    for (path, endpoints) in ends {
+fn note(ledger: &mut CrashLedger, now: u64, crashes: &[(&str, &[&str])]) {
+    for (path, endpoints) in crashes {
         for endpoint in *endpoints {
-            ledger.note_end(now, digest(path), (*endpoint).into());
+            ledger.record_crash(now, digest(path), (*endpoint).into());
         }
     }
 }
@@ -44,7 +44,7 @@
 fn third_end_refuses() {
     let mut ledger = ledger(&[("/a", &["x", "y"])]);
     assert!(!is_refused(&ledger, "/a"));
-    let change = ledger.note_end(NOW, digest("/a"), "z".into());
+    let change = ledger.record_crash(NOW, digest("/a"), "z".into());
     assert_eq!((change.refused, change.cleared), (vec![digest("/a")], vec![]));
     assert!(is_refused(&ledger, "/a") && !is_refused(&ledger, "/b"));
 }
@@ -53,8 +53,8 @@
 fn darken(ledger: &mut CrashLedger, path: &str, endpoints: &[&str]) {
     for (number, endpoint) in endpoints.iter().enumerate() {
         let at = NOW + number as u64;
-        ledger.note_break(at, digest(path), (*endpoint).into());
-        ledger.note_gone(at + 3_000, endpoint);
+        ledger.record_unanswered(at, digest(path), (*endpoint).into());
+        ledger.confirm_crash(at + 3_000, endpoint);
     }
 }
 
@@ -62,11 +62,11 @@
 fn break_counts_once_endpoint_is_gone() {
     let mut ledger = CrashLedger::default();
     for endpoint in ["x", "y", "z"] {
-        ledger.note_break(NOW, digest("/a"), endpoint.into());
+        ledger.record_unanswered(NOW, digest("/a"), endpoint.into());
     }
     assert!(!ledger.is_empty() && !is_refused(&ledger, "/a"));
     for endpoint in ["x", "y", "z"] {
-        ledger.note_gone(NOW + 3_000, endpoint);
+        ledger.confirm_crash(NOW + 3_000, endpoint);
     }
     assert!(is_refused(&ledger, "/a"));
 }
@@ -76,8 +76,8 @@
 fn break_long_before_end_does_not_count() {
     let mut ledger = CrashLedger::default();
     for endpoint in ["x", "y", "z"] {
-        ledger.note_break(NOW, digest("/a"), endpoint.into());
-        ledger.note_gone(NOW + 60_000, endpoint);
+        ledger.record_unanswered(NOW, digest("/a"), endpoint.into());
+        ledger.confirm_crash(NOW + 60_000, endpoint);
     }
     assert!(!is_refused(&ledger, "/a"));
 }
@@ -91,13 +91,13 @@
         let at = NOW + zone * 6_000;
         let endpoints: Vec<String> = (0..60).map(|number| format!("{zone}-{number}")).collect();
         for (number, endpoint) in endpoints.iter().enumerate() {
-            ledger.note_break(at, digest(&format!("/{}", number % 20)), (**endpoint).into());
+            ledger.record_unanswered(at, digest(&format!("/{}", number % 20)), (**endpoint).into());
         }
         for path in 0..20 {
-            ledger.note_survival(at + 1_500, &digest(&format!("/{path}")));
+            ledger.record_survival(at + 1_500, &digest(&format!("/{path}")));
         }
         for endpoint in &endpoints {
-            let change = ledger.note_gone(at + 3_000, endpoint);
+            let change = ledger.confirm_crash(at + 3_000, endpoint);
             assert!(change.refused.is_empty(), "{change:?}");
         }
     }
@@ -107,11 +107,11 @@
 #[test]
 fn break_given_up_is_told() {
     let mut ledger = CrashLedger::default();
-    ledger.note_break(NOW, digest("/a"), "x".into());
-    ledger.note_given_up(&digest("/a"));
-    assert!(ledger.untold(false).is_none());
-    ledger.note_gone(NOW + 3_000, "x");
-    assert!(ledger.untold(false).is_some());
+    ledger.record_unanswered(NOW, digest("/a"), "x".into());
+    ledger.record_given_up(&digest("/a"));
+    assert!(ledger.records_to_write(false).is_none());
+    ledger.confirm_crash(NOW + 3_000, "x");
+    assert!(ledger.records_to_write(false).is_some());
 }
 
 #[test]
@@ -142,7 +142,7 @@
 fn equal_ends_parted_by_next() {
     let mut ledger = ledger(&[("/deadly", &["x", "y", "z"]), ("/beside", &["x", "y", "z"])]);
     assert!(is_refused(&ledger, "/deadly") && is_refused(&ledger, "/beside"));
-    let change = ledger.note_end(NOW, digest("/deadly"), "w".into());
+    let change = ledger.record_crash(NOW, digest("/deadly"), "w".into());
     assert_eq!(change.cleared, [digest("/beside")]);
     assert!(is_refused(&ledger, "/deadly"));
 }
@@ -157,7 +157,7 @@
 #[test]
 fn survival_starts_anew() {
     let mut ledger = ledger(&[("/a", &["x", "y"])]);
-    ledger.note_survival(NOW + 1, &digest("/a"));
+    ledger.record_survival(NOW + 1, &digest("/a"));
     note(&mut ledger, NOW + 2, &[("/a", &["z", "w"])]);
     assert!(!is_refused(&ledger, "/a"));
     note(&mut ledger, NOW + 3, &[("/a", &["v"])]);
@@ -168,56 +168,56 @@
 #[test]
 fn single_end_told_when_given_up() {
     let mut ledger = ledger(&[("/a", &["x"])]);
-    assert_eq!(ledger.untold(true), None);
-    ledger.note_given_up(&digest("/a"));
-    assert_eq!(ledger.untold(true).unwrap().len(), 1);
+    assert_eq!(ledger.records_to_write(true), None);
+    ledger.record_given_up(&digest("/a"));
+    assert_eq!(ledger.records_to_write(true).unwrap().len(), 1);
 }
 
 #[test]
 fn second_end_told() {
-    assert_eq!(ledger(&[("/a", &["x", "y"])]).untold(true).unwrap()[&digest("/a")].ends.len(), 2);
+    assert_eq!(ledger(&[("/a", &["x", "y"])]).records_to_write(true).unwrap()[&digest("/a")].crashes.len(), 2);
 }
 
 /// Each of three hosts saw one end.
 #[test]
 fn ends_of_hosts_added() {
     let mut ledger = ledger(&[("/a", &["x"])]);
-    let record = CrashRecord { ends: [("y".into(), NOW), ("z".into(), NOW)].into(), survived_at: 0 };
-    ledger.learn(NOW, [(digest("/a"), record)].into());
+    let record = CrashRecord { crashes: [("y".into(), NOW), ("z".into(), NOW)].into(), survived_at: 0 };
+    ledger.merge_stored(NOW, [(digest("/a"), record)].into());
     assert!(is_refused(&ledger, "/a"));
-    assert_eq!(ledger.untold(true).unwrap()[&digest("/a")].ends.len(), 3);
+    assert_eq!(ledger.records_to_write(true).unwrap()[&digest("/a")].crashes.len(), 3);
 }
 
 #[test]
 fn told_once_only() {
     let mut ledger = ledger(&[("/a", &["x", "y"])]);
-    let told = ledger.untold(true).unwrap();
-    ledger.learn(NOW, told);
-    assert_eq!(ledger.untold(true), None);
+    let told = ledger.records_to_write(true).unwrap();
+    ledger.merge_stored(NOW, told);
+    assert_eq!(ledger.records_to_write(true), None);
 }
 
 /// Of hundreds of hosts that hear of it only those write it again that read the store for others.
 #[test]
 fn heard_written_again_by_readers() {
     let mut ledger = CrashLedger::default();
-    let record = CrashRecord { ends: [("x".into(), NOW), ("y".into(), NOW)].into(), survived_at: 0 };
-    ledger.learn(NOW, [(digest("/a"), record)].into());
-    ledger.learn(NOW, CrashRecords::new());
-    assert_eq!(ledger.untold(false), None);
-    assert_eq!(ledger.untold(true).unwrap().len(), 1);
+    let record = CrashRecord { crashes: [("x".into(), NOW), ("y".into(), NOW)].into(), survived_at: 0 };
+    ledger.merge_stored(NOW, [(digest("/a"), record)].into());
+    ledger.merge_stored(NOW, CrashRecords::new());
+    assert_eq!(ledger.records_to_write(false), None);
+    assert_eq!(ledger.records_to_write(true).unwrap().len(), 1);
     note(&mut ledger, NOW, &[("/a", &["z"])]);
-    assert_eq!(ledger.untold(false).unwrap()[&digest("/a")].ends.len(), 3);
+    assert_eq!(ledger.records_to_write(false).unwrap()[&digest("/a")].crashes.len(), 3);
 }
 
 /// A store that lost what was written there gets it again.
 #[test]
 fn older_store_written_again() {
     let mut ledger = ledger(&[("/a", &["x", "y", "z"])]);
-    let told = ledger.untold(true).unwrap();
-    ledger.learn(NOW, told.clone());
-    ledger.learn(NOW, CrashRecords::new());
+    let told = ledger.records_to_write(true).unwrap();
+    ledger.merge_stored(NOW, told.clone());
+    ledger.merge_stored(NOW, CrashRecords::new());
     assert!(is_refused(&ledger, "/a"));
-    assert_eq!(ledger.untold(true), Some(told));
+    assert_eq!(ledger.records_to_write(true), Some(told));
 }
 
 /// A host that knows only its own ends can't tell yet whose fault they are; whoever did no harm is served when it comes back.
@@ -226,8 +226,8 @@
     let mut ledger = ledger(&[("/beside", &["x", "y", "z"])]);
     assert_eq!(ledger.refusal(NOW, &digest("/beside")), Some(Duration::from_secs(2)));
     assert!(ledger.refusal(NOW + 2_000, &digest("/beside")).unwrap() > Duration::from_mins(59));
-    let ends = ["w", "x", "y", "z"].map(|endpoint| (endpoint.into(), NOW)).into();
-    ledger.learn(NOW + 500, [(digest("/deadly"), CrashRecord { ends, survived_at: 0 })].into());
+    let crashes = ["w", "x", "y", "z"].map(|endpoint| (endpoint.into(), NOW)).into();
+    ledger.merge_stored(NOW + 500, [(digest("/deadly"), CrashRecord { crashes, survived_at: 0 })].into());
     assert_eq!(ledger.refusal(NOW + 2_000, &digest("/beside")), None);
 }
 
@@ -250,7 +250,7 @@
         note(&mut ledger, NOW + number, &[(&format!("/{number}"), &["v", "w"])]);
     }
     assert!(is_refused(&ledger, "/deadly"));
-    assert!(ledger.untold(true).unwrap().len() <= 128);
+    assert!(ledger.records_to_write(true).unwrap().len() <= 128);
 }
 
 proptest! {
@@ -261,14 +261,14 @@
     fn records_join_in_any_order(parts in proptest::collection::vec((0_usize..4, 0_u64..50, 0_u64..50), 1..12)) {
         let names = ["v", "w", "x", "y"];
         let records: Vec<CrashRecord> = parts.iter().map(|(name, at, survived_at)| {
-            CrashRecord { ends: [(names[*name].into(), *at)].into(), survived_at: *survived_at }
+            CrashRecord { crashes: [(names[*name].into(), *at)].into(), survived_at: *survived_at }
         }).collect();
         let (mut forward, mut backward) = (CrashRecord::default(), CrashRecord::default());
         for record in &records {
-            forward.join(record);
+            forward.merge(record);
         }
         for record in records.iter().rev().chain(&records) {
-            backward.join(record);
+            backward.merge(record);
         }
         prop_assert_eq!(forward, backward);
     }
--- a/crates/hollyhook_core/tests/gateway/quarantine_play.rs
+++ b/crates/hollyhook_core/tests/gateway/quarantine_play.rs
@@ -150,7 +150,7 @@
     }
 
     fn give_up(&mut self, request: u64, host: usize, is_refused: bool) {
-        self.hosts[host].note_given_up(&digest(request));
+        self.hosts[host].record_given_up(&digest(request));
         if request == DEADLY {
             return;
         }
@@ -170,12 +170,12 @@
         for at in due {
             let records = self.written.remove(&at).unwrap();
             for host in &mut self.hosts {
-                host.learn(self.now, records.clone());
+                host.merge_stored(self.now, records.clone());
             }
         }
         for host in &self.hosts {
-            for (digest, record) in host.untold(true).unwrap_or_default() {
-                self.stored.entry(digest).or_default().join(&record);
+            for (digest, record) in host.records_to_write(true).unwrap_or_default() {
+                self.stored.entry(digest).or_default().merge(&record);
                 self.written.insert(self.now + TOLD_AFTER, self.stored.clone());
             }
         }
@@ -191,7 +191,7 @@
         let done = self.running.extract_if(.., |attempt| now >= attempt.sent_at + READING + RUNNING);
         let done: Vec<Attempt> = done.collect();
         for attempt in done {
-            self.hosts[attempt.host].note_survival(now, &digest(attempt.request));
+            self.hosts[attempt.host].record_survival(now, &digest(attempt.request));
             self.outcome.served += 1;
         }
     }
@@ -211,9 +211,9 @@
         for attempt in lost {
             let digest = digest(attempt.request);
             if self.now < attempt.sent_at + READING + SURVIVAL {
-                self.hosts[attempt.host].note_end(self.now, digest, name.as_str().into());
+                self.hosts[attempt.host].record_crash(self.now, digest, name.as_str().into());
             } else {
-                self.hosts[attempt.host].note_survival(self.now, &digest);
+                self.hosts[attempt.host].record_survival(self.now, &digest);
             }
             let engine = if self.placing == Placing::Together { best } else { self.pick_engine() };
             self.send(attempt.request, attempt.host, attempt.runs + 1, engine);
--- a/crates/hollyhook_core/tests/gateway/rollouts.rs
+++ b/crates/hollyhook_core/tests/gateway/rollouts.rs
@@ -4,7 +4,7 @@
 
 use hollyhook_core::{
     EndpointId, Name, RolloutPlan, RolloutState, RolloutStep, TargetShare, TimePoint, TrialEvidence, VersionFault,
-    VersionRule, VersionVerdict, judge_version,
+    VersionFilter, VersionVerdict, evaluate_version,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -48,7 +48,7 @@
             let route = &routes[rng.random_range(0..3)];
             let is_failure = rng.random_bool(usual_failures);
             let took = time(&mut rng, 1.0);
-            evidence.others_mut(route).note(is_failure, Some(took), None);
+            evidence.others_mut(route).record(is_failure, Some(took), None);
         }
         for _ in 0..TARGET_EACH {
             let (number, endpoint) = (rng.random_range(0..3), rng.random_range(0..8));
@@ -58,9 +58,9 @@
             let is_failure = rng.random_bool(failures.min(1.0));
             let took = time(&mut rng, if is_meant { conduct.slowness } else { 1.0 });
             let endpoint: EndpointId = format!("i-{endpoint}").into();
-            evidence.target_mut(&routes[number], &endpoint).note(is_failure, Some(took), None);
+            evidence.target_mut(&routes[number], &endpoint).record(is_failure, Some(took), None);
         }
-        verdict = judge_version(&evidence);
+        verdict = evaluate_version(&evidence);
         if matches!(verdict, VersionVerdict::Bad(_)) {
             return (verdict, look);
         }
@@ -136,7 +136,7 @@
 
 #[test]
 fn nothing_seen_is_open() {
-    assert_eq!(judge_version(&TrialEvidence::default()), VersionVerdict::Open);
+    assert_eq!(evaluate_version(&TrialEvidence::default()), VersionVerdict::Open);
 }
 
 /// What several hosts saw counts as if one had seen it.
@@ -147,15 +147,15 @@
         let (route, endpoint): (Name, EndpointId) = ("draft".into(), format!("i-{}", number % 3).into());
         let took = Some(Duration::from_millis(100));
         for evidence in [&mut whole, &mut parts[number % 2]] {
-            evidence.target_mut(&route, &endpoint).note(false, took, None);
-            evidence.others_mut(&route).note(false, took, None);
+            evidence.target_mut(&route, &endpoint).record(false, took, None);
+            evidence.others_mut(&route).record(false, took, None);
         }
     }
     let [mut first, second] = parts;
-    assert_eq!(judge_version(&first), VersionVerdict::Open);
-    first.join(&second);
+    assert_eq!(evaluate_version(&first), VersionVerdict::Open);
+    first.merge(&second);
     assert_eq!(first.target_answers(), whole.target_answers());
-    assert_eq!(judge_version(&first), VersionVerdict::Good);
+    assert_eq!(evaluate_version(&first), VersionVerdict::Good);
 }
 
 fn plan(state: Option<RolloutState>, since_ms: u64) -> RolloutPlan {
@@ -217,27 +217,27 @@
 #[test]
 fn trial_endpoints_few_and_alike() {
     let live = |count: u32| (0..count).map(|number| EndpointId::from(format!("i-{number}")));
-    assert_eq!(VersionRule::trial_endpoints("v2", live(280), 0.08).len(), 23);
-    assert_eq!(VersionRule::trial_endpoints("v2", live(6), 0.08).len(), 2);
-    assert_eq!(VersionRule::trial_endpoints("v2", live(1), 0.08).len(), 1);
+    assert_eq!(VersionFilter::trial_endpoints("v2", live(280), 0.08).len(), 23);
+    assert_eq!(VersionFilter::trial_endpoints("v2", live(6), 0.08).len(), 2);
+    assert_eq!(VersionFilter::trial_endpoints("v2", live(1), 0.08).len(), 1);
     let backwards: Vec<EndpointId> = live(280).collect();
-    let backwards = VersionRule::trial_endpoints("v2", backwards.into_iter().rev(), 0.08);
-    assert_eq!(VersionRule::trial_endpoints("v2", live(280), 0.08), backwards);
+    let backwards = VersionFilter::trial_endpoints("v2", backwards.into_iter().rev(), 0.08);
+    assert_eq!(VersionFilter::trial_endpoints("v2", live(280), 0.08), backwards);
 }
 
 #[test]
 fn share_by_state() {
     let share = |state, now_ms| plan(state, 20_000).share(TimePoint::from_millis(now_ms));
-    assert_eq!(share(None, 20_000), TargetShare::Nothing);
+    assert_eq!(share(None, 20_000), TargetShare::None);
     assert_eq!(share(Some(RolloutState::Trial), 20_000), TargetShare::Trial);
-    assert_eq!(share(Some(RolloutState::Moving), 20_000), TargetShare::Everything);
-    assert_eq!(share(Some(RolloutState::RolledBack), 90_000), TargetShare::Nothing);
+    assert_eq!(share(Some(RolloutState::Moving), 20_000), TargetShare::All);
+    assert_eq!(share(Some(RolloutState::RolledBack), 90_000), TargetShare::None);
 }
 
 /// Endpoints of the next version that come without an order, long after a roll-out, are endpoints like any other.
 #[test]
 fn share_long_after_completion() {
     let share = |now_ms| plan(Some(RolloutState::Completed), 20_000).share(TimePoint::from_millis(now_ms));
-    assert_eq!(share(20_100), TargetShare::Everything);
-    assert_eq!(share(60_000), TargetShare::Any);
+    assert_eq!(share(20_100), TargetShare::All);
+    assert_eq!(share(60_000), TargetShare::Unrestricted);
 }
--- a/crates/hollyhook_daemon/src/call/claim_service.rs
+++ b/crates/hollyhook_daemon/src/call/claim_service.rs
@@ -5,8 +5,8 @@
 use async_channel::{Receiver, Sender};
 use async_std::task;
 use hollyhook_core::{
-    ClaimAction, ClaimAnswer, ClaimEvent, ClaimLedger, ClaimOrder, ClaimPolicy, ClaimRecord, ClaimRefusal, ClaimShard,
-    ClaimVerdict, Error, ErrorKind, Name, Result, TimePoint,
+    ClaimAction, ClaimAnswer, ClaimCommand, ClaimEvent, ClaimLedger, ClaimPolicy, ClaimRecord, ClaimRefusal,
+    ClaimShard, ClaimVerdict, Error, ErrorKind, Name, Result, TimePoint,
 };
 use hollyhook_kernel::TimerService;
 use hollyhook_wire::{ObjectVersion, PlatformClient, PlatformError, WriteCondition};
@@ -38,7 +38,7 @@
 
 #[derive(Debug)]
 struct ShardOrder {
-    order: ClaimOrder,
+    order: ClaimCommand,
     reply: Option<Sender<Result<ClaimGrant>>>,
 }
 
@@ -89,7 +89,7 @@
     pub(crate) async fn claim(&self, record: ClaimRecord) -> Result<ClaimGrant> {
         let (sender, reply) = async_channel::bounded(1);
         let shard = self.shard(&record);
-        let order = ShardOrder { order: ClaimOrder::Claim(record), reply: Some(sender) };
+        let order = ShardOrder { order: ClaimCommand::Claim(record), reply: Some(sender) };
         shard.try_send(order).map_err(|_full| busy("too many claims wait"))?;
         reply.recv().await.map_err(|_closed| busy("the host is stopping"))?
     }
@@ -114,12 +114,12 @@
             return;
         };
         record.answer = Some(ClaimAnswer { status, content_type: content_type.into(), body: body.into() });
-        let _dropped = self.shard(&record).try_send(ShardOrder { order: ClaimOrder::Answer(record), reply: None });
+        let _dropped = self.shard(&record).try_send(ShardOrder { order: ClaimCommand::Answer(record), reply: None });
     }
 
     /// Gives a key back whose call was certainly not sent.
     pub(crate) fn release(&self, record: ClaimRecord) {
-        let _dropped = self.shard(&record).try_send(ShardOrder { order: ClaimOrder::Release(record), reply: None });
+        let _dropped = self.shard(&record).try_send(ShardOrder { order: ClaimCommand::Release(record), reply: None });
     }
 
     fn shard(&self, record: &ClaimRecord) -> &Sender<ShardOrder> {
@@ -176,10 +176,10 @@
     }
 
     fn ordered(&mut self, order: ShardOrder) -> ClaimEvent {
-        if let (ClaimOrder::Claim(record), Some(reply)) = (&order.order, order.reply) {
+        if let (ClaimCommand::Claim(record), Some(reply)) = (&order.order, order.reply) {
             self.replies.insert(Name::clone(&record.claim), reply);
         }
-        ClaimEvent::Ordered(order.order)
+        ClaimEvent::Submitted(order.order)
     }
 
     /// Returns whether it called the platform.
@@ -195,9 +195,9 @@
                     is_writing = true;
                     events.push_back(self.load().await);
                 }
-                ClaimAction::Settle { claim, verdict } => self.reply(&claim, grant(verdict)),
+                ClaimAction::Resolve { claim, verdict } => self.reply(&claim, grant(verdict)),
                 ClaimAction::Refuse { claim, refusal } => self.reply(&claim, Err(self.refusal(refusal))),
-                ClaimAction::Wake { after } => self.wake_at = Some(self.timer.now() + after),
+                ClaimAction::SetTimer { after } => self.wake_at = Some(self.timer.now() + after),
             }
         }
         is_writing
--- a/crates/hollyhook_daemon/src/fleet/probe_service.rs
+++ b/crates/hollyhook_daemon/src/fleet/probe_service.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use async_channel::Sender;
-use hollyhook_core::{EndpointId, GenerationId, ProbeGate, ProbePlace, ProbeReport};
+use hollyhook_core::{EndpointId, GenerationId, ProbeAdmission, ProbeGate, ProbeReport};
 
 use super::HostContext;
 
@@ -67,7 +67,7 @@
             let mut state = self.lock();
             state.last += 1;
             let probe = state.last;
-            if state.gate.enter(endpoint, probe) == ProbePlace::Open {
+            if state.gate.enter(endpoint, probe) == ProbeAdmission::Admitted {
                 return ProbeTurn::Go;
             }
             let (sender, wait) = async_channel::bounded(1);
@@ -80,8 +80,8 @@
     fn release(&self, endpoint: &EndpointId, is_dead: bool) {
         let mut state = self.lock();
         let release = state.gate.leave(endpoint, is_dead);
-        let opened = release.opened.into_iter().map(|probe| (probe, ProbeTurn::Go));
-        let answered = release.answered_dead.into_iter().map(|probe| (probe, ProbeTurn::Dead));
+        let opened = release.admitted.into_iter().map(|probe| (probe, ProbeTurn::Go));
+        let answered = release.found_dead.into_iter().map(|probe| (probe, ProbeTurn::Dead));
         for (probe, turn) in opened.chain(answered).collect::<Vec<_>>() {
             if let Some(sender) = state.waiters.remove(&probe) {
                 let _gone = sender.try_send(turn);
--- a/crates/hollyhook_daemon/src/relay/relay_driver.rs
+++ b/crates/hollyhook_daemon/src/relay/relay_driver.rs
@@ -268,7 +268,7 @@
         self.attempt = None;
         self.context.board.count("generation_failed");
         let mut error = Error::new(kind, failure_text(kind, delivered, &self.task));
-        if kind.has_retry() {
+        if kind.has_retry_after() {
             error = error.retry_after(RETRY_AFTER + RETRY_AFTER.mul_f64(rand::random()));
         }
         self.link.refuse(error).await;
--- a/crates/hollyhook_gateway/src/forward/crash_check.rs
+++ b/crates/hollyhook_gateway/src/forward/crash_check.rs
@@ -38,25 +38,25 @@
     let is_cut_off = matches!(failure, AttemptFailure::Broken | AttemptFailure::Garbled);
     let has_ended = is_cut_off && has_ended(context, caller, target).await;
     if !has_ended && (is_cut_off || failure == AttemptFailure::Silent) {
-        context.quarantine.note_break(caller.digest(), &target.id);
+        context.quarantine.record_unanswered(caller.digest(), &target.id);
     }
     if has_ended {
         context.board.count("endpoint_crashes");
         request_log::crashed(context, caller, &target.id);
-        context.quarantine.note_end(caller.digest(), &target.id);
+        context.quarantine.record_crash(caller.digest(), &target.id);
         QuarantineWriter::wake(context);
     }
 }
 
 /// Notes that an endpoint ran a request and did not end.
-pub(super) fn note_survival(context: &Arc<GatewayContext>, caller: &CallerRequest) {
-    context.quarantine.note_survival(|| caller.digest());
+pub(super) fn record_survival(context: &Arc<GatewayContext>, caller: &CallerRequest) {
+    context.quarantine.record_survival(|| caller.digest());
     QuarantineWriter::wake(context);
 }
 
 /// Notes that a request is no longer tried.
-pub(super) fn note_given_up(context: &Arc<GatewayContext>, caller: &CallerRequest) {
-    context.quarantine.note_given_up(|| caller.digest());
+pub(super) fn record_given_up(context: &Arc<GatewayContext>, caller: &CallerRequest) {
+    context.quarantine.record_given_up(|| caller.digest());
     QuarantineWriter::wake(context);
 }
 
--- a/crates/hollyhook_gateway/src/forward/engine_choice.rs
+++ b/crates/hollyhook_gateway/src/forward/engine_choice.rs
@@ -5,8 +5,8 @@
 
 use futures::future::join;
 use hollyhook_core::{
-    EndpointId, EndpointRecord, EndpointState, EngineCandidate, HomeCounts, Name, RouteQuery, StopReason, VersionRule,
-    ZoneName, choose_copy, choose_engine, excess_wait, has_holder, is_settled, place_held,
+    EndpointId, EndpointRecord, EndpointState, EngineCandidate, HomeCounts, Name, RouteQuery, StopReason,
+    VersionFilter, ZoneName, choose_copy, choose_engine, excess_wait, has_holder, is_settled, place_held,
 };
 use hollyhook_platform::BackupSource;
 use rand::Rng;
@@ -57,7 +57,7 @@
     /// Engines that were tried already.
     pub(super) tried: &'a [EndpointId],
     /// Which versions it may go to.
-    pub(super) versions: &'a VersionRule,
+    pub(super) versions: &'a VersionFilter,
 }
 
 impl EngineChooser<'_> {
--- a/crates/hollyhook_gateway/src/forward/event_stream.rs
+++ b/crates/hollyhook_gateway/src/forward/event_stream.rs
@@ -17,7 +17,7 @@
 use super::attempt::{EndpointPlace, OpenAnswer, WholeAnswer, send_attempt};
 use super::attempt_end::end_attempt;
 use super::backup_keeper::BackupKeeper;
-use super::crash_check::{SURVIVAL, check_crash, note_given_up, note_survival};
+use super::crash_check::{SURVIVAL, check_crash, record_given_up, record_survival};
 use super::engine_choice::{BackupPlace, EngineChoice, EngineChooser};
 use super::live_attempt::{AttemptStart, LiveAttempt, PieceEnd};
 use super::request_log;
@@ -156,7 +156,7 @@
             note_version(&self.context, &self.caller, &live.place.target, None, times);
             live.answer.release(&self.context, live.place.id());
         }
-        note_survival(&self.context, &self.caller);
+        record_survival(&self.context, &self.caller);
         request_log::streamed(&self.context, &self.caller, &self.pace, self.ledger.attempts() + 1);
     }
 
@@ -164,7 +164,7 @@
         self.is_over = true;
         self.live = None;
         request_log::ended(&self.context, &self.caller, &error, self.ledger.attempts());
-        note_given_up(&self.context, &self.caller);
+        record_given_up(&self.context, &self.caller);
         error
     }
 
@@ -182,7 +182,7 @@
         self.held = live.keeper.as_ref().and_then(BackupKeeper::take);
         drop(live);
         if has_survived {
-            note_survival(&self.context, &self.caller);
+            record_survival(&self.context, &self.caller);
         } else {
             check_crash(&self.context, &self.caller, &target, failure).await;
         }
--- a/crates/hollyhook_gateway/src/forward/plain_call.rs
+++ b/crates/hollyhook_gateway/src/forward/plain_call.rs
@@ -10,7 +10,7 @@
 
 use super::attempt::{EndpointPlace, WholeAnswer, send_attempt};
 use super::attempt_end::end_attempt;
-use super::crash_check::{check_crash, note_given_up, note_survival};
+use super::crash_check::{check_crash, record_given_up, record_survival};
 use super::request_log::{self, CallTrace};
 use super::version_note::{VersionTimes, note_version};
 use crate::front::{AnswerBody, CallerRequest};
@@ -46,12 +46,12 @@
             request_log::answered(context, caller, response.status().as_u16(), &run.last, attempts);
             // A failure of the endpoint's own may have come before the request could do harm.
             if response.status().is_success() {
-                note_survival(context, caller);
+                record_survival(context, caller);
             }
         }
         Err(error) => {
             request_log::ended(context, caller, error, attempts);
-            note_given_up(context, caller);
+            record_given_up(context, caller);
         }
     }
     outcome
--- a/crates/hollyhook_gateway/src/gateway/quarantine_board.rs
+++ b/crates/hollyhook_gateway/src/gateway/quarantine_board.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use hollyhook_core::{CrashLedger, CrashRecords, EndpointId, LedgerChange, Name, RequestDigest, Result};
+use hollyhook_core::{CrashLedger, CrashRecords, EndpointId, Name, QuarantineChange, RequestDigest, Result};
 use hollyhook_kernel::ServiceRegistry;
 use hollyhook_platform::StoreObject;
 use hollyhook_telemetry::MetricBoard;
@@ -56,14 +56,14 @@
     }
 
     /// Notes that an endpoint ended under a request.
-    pub(crate) fn note_end(&self, digest: RequestDigest, endpoint: &str) {
-        let change = lock(&self.ledger).note_end(unix_millis(), digest, Name::from(endpoint));
+    pub(crate) fn record_crash(&self, digest: RequestDigest, endpoint: &str) {
+        let change = lock(&self.ledger).record_crash(unix_millis(), digest, Name::from(endpoint));
         self.log(&change);
     }
 
     /// Notes that an endpoint left a request without an answer, and may have ended.
-    pub(crate) fn note_break(&self, digest: RequestDigest, endpoint: &str) {
-        lock(&self.ledger).note_break(unix_millis(), digest, Name::from(endpoint));
+    pub(crate) fn record_unanswered(&self, digest: RequestDigest, endpoint: &str) {
+        lock(&self.ledger).record_unanswered(unix_millis(), digest, Name::from(endpoint));
     }
 
     /// Notes that endpoints are gone without having said that they leave.
@@ -72,8 +72,9 @@
         if ledger.is_empty() {
             return;
         }
-        ledger.forget_breaks(unix_millis());
-        let changes: Vec<LedgerChange> = endpoints.iter().map(|id| ledger.note_gone(unix_millis(), id)).collect();
+        ledger.expire_unanswered(unix_millis());
+        let changes: Vec<QuarantineChange> =
+            endpoints.iter().map(|id| ledger.confirm_crash(unix_millis(), id)).collect();
         drop(ledger);
         for change in &changes {
             self.log(change);
@@ -81,20 +82,20 @@
     }
 
     /// Notes that a request is no longer tried here.
-    pub(crate) fn note_given_up(&self, digest: impl FnOnce() -> RequestDigest) {
+    pub(crate) fn record_given_up(&self, digest: impl FnOnce() -> RequestDigest) {
         let mut ledger = lock(&self.ledger);
         if !ledger.is_empty() {
-            ledger.note_given_up(&digest());
+            ledger.record_given_up(&digest());
         }
     }
 
     /// Notes that an endpoint ran a request and did not end.
-    pub(crate) fn note_survival(&self, digest: impl FnOnce() -> RequestDigest) {
+    pub(crate) fn record_survival(&self, digest: impl FnOnce() -> RequestDigest) {
         let mut ledger = lock(&self.ledger);
         if ledger.is_empty() {
             return;
         }
-        let change = ledger.note_survival(unix_millis(), &digest());
+        let change = ledger.record_survival(unix_millis(), &digest());
         drop(ledger);
         self.log(&change);
     }
@@ -141,25 +142,25 @@
         }
         let mut stored = CrashRecords::new();
         for (digest, record) in noted.values().flatten() {
-            stored.entry(*digest).or_default().join(record);
+            stored.entry(*digest).or_default().merge(record);
         }
         // Still with the lock on what is noted: what was read later must not be learnt first.
-        let change = lock(&self.ledger).learn(unix_millis(), stored);
+        let change = lock(&self.ledger).merge_stored(unix_millis(), stored);
         drop(noted);
         self.log(&change);
     }
 
     /// The records that the store should hold, if this host is to write them.
-    pub(crate) fn untold(&self, is_reader: bool) -> Option<CrashRecords> {
-        lock(&self.ledger).untold(is_reader)
+    pub(crate) fn records_to_write(&self, is_reader: bool) -> Option<CrashRecords> {
+        lock(&self.ledger).records_to_write(is_reader)
     }
 
     /// Whether the records have to be written and nobody does so yet; if so, the caller does from now on.
     ///
     /// Whether this host reads the store for others takes a while to say, and is asked only if anything is missing there.
     pub(crate) fn begin_writing(&self, is_reader: impl FnOnce() -> bool) -> bool {
-        let is_missing = lock(&self.ledger).is_untold(true);
-        let is_own = || lock(&self.ledger).is_untold(is_reader());
+        let is_missing = lock(&self.ledger).has_records_to_write(true);
+        let is_own = || lock(&self.ledger).has_records_to_write(is_reader());
         is_missing && is_own() && !self.is_writing.swap(true, Ordering::AcqRel)
     }
 
@@ -167,7 +168,7 @@
         self.is_writing.store(false, Ordering::Release);
     }
 
-    fn log(&self, change: &LedgerChange) {
+    fn log(&self, change: &QuarantineChange) {
         for digest in &change.refused {
             self.board.count("requests_quarantined");
             tracing::warn!(%digest, "quarantine.begun");
--- a/crates/hollyhook_gateway/src/gateway/rollout_board.rs
+++ b/crates/hollyhook_gateway/src/gateway/rollout_board.rs
@@ -6,7 +6,7 @@
 use futures::channel::oneshot;
 use hollyhook_core::{
     EndpointId, EndpointState, Name, Result, RolloutOrder, RolloutState, TargetShare, TimePoint, TrialEvidence,
-    VersionRule,
+    VersionFilter,
 };
 use hollyhook_kernel::{ServiceRegistry, TimerService};
 use hollyhook_platform::{StoreObject, TrialReport};
@@ -122,7 +122,7 @@
     ///
     /// A version on trial is drawn for a small share of the requests, and only for their first attempt (`is_first`): what
     /// is sent again has been held up enough.
-    pub(crate) fn rule(&self, service: &Name, is_first: bool) -> Option<VersionRule> {
+    pub(crate) fn rule(&self, service: &Name, is_first: bool) -> Option<VersionFilter> {
         let state = lock(&self.state);
         let exposure = state.exposure?;
         let unvetted = state.unvetted.get(service).cloned();
@@ -133,14 +133,14 @@
         drop(state);
         let others = |version: Option<Name>| {
             let except: BTreeSet<Name> = unvetted.clone().into_iter().flatten().chain(version).collect();
-            (!except.is_empty()).then(|| VersionRule { except, ..VersionRule::any() })
+            (!except.is_empty()).then(|| VersionFilter { except, ..VersionFilter::any() })
         };
         match target {
-            None | Some((_, TargetShare::Any)) => others(None),
-            Some((version, TargetShare::Nothing)) => others(Some(version)),
-            Some((version, TargetShare::Everything)) => {
+            None | Some((_, TargetShare::Unrestricted)) => others(None),
+            Some((version, TargetShare::None)) => others(Some(version)),
+            Some((version, TargetShare::All)) => {
                 let is_there = !self.live_endpoints(service, &version).is_empty();
-                is_there.then(|| VersionRule::only(&version))
+                is_there.then(|| VersionFilter::only(&version))
             }
             Some((version, TargetShare::Trial)) => {
                 let drawn =
@@ -151,7 +151,7 @@
     }
 
     /// The rule for a request that is drawn for the version on trial, if it is.
-    fn draw(&self, service: &Name, version: &Name, share: f64) -> Option<VersionRule> {
+    fn draw(&self, service: &Name, version: &Name, share: f64) -> Option<VersionFilter> {
         if !rand::rng().random_bool(share.clamp(0.0, 1.0)) {
             return None;
         }
@@ -159,8 +159,8 @@
         if live.is_empty() {
             return None;
         }
-        let chosen = VersionRule::trial_endpoints(version, live, share);
-        Some(VersionRule::only(version).endpoints(chosen))
+        let chosen = VersionFilter::trial_endpoints(version, live, share);
+        Some(VersionFilter::only(version).endpoints(chosen))
     }
 
     /// Whether an endpoint may be sent what another one has begun.
@@ -171,10 +171,10 @@
         };
         let is_target = rollout.order.target == *version;
         match rollout.plan().share(self.timer.now()) {
-            TargetShare::Nothing => !is_target,
+            TargetShare::None => !is_target,
             // While it is moved to, what runs elsewhere may still end there.
-            TargetShare::Everything => is_target || rollout.state == Some(RolloutState::Moving),
-            TargetShare::Trial | TargetShare::Any => true,
+            TargetShare::All => is_target || rollout.state == Some(RolloutState::Moving),
+            TargetShare::Trial | TargetShare::Unrestricted => true,
         }
     }
 
@@ -197,7 +197,7 @@
         } else {
             rollout.evidence.others_mut(answer.route)
         };
-        tally.note(answer.is_failure, answer.first, answer.gap);
+        tally.record(answer.is_failure, answer.first, answer.gap);
         drop(state);
         if is_target {
             self.board.count(if answer.is_failure { "trial_answers_failed" } else { "trial_answers_good" });
--- a/crates/hollyhook_gateway/src/store/quarantine_writer.rs
+++ b/crates/hollyhook_gateway/src/store/quarantine_writer.rs
@@ -37,7 +37,7 @@
         loop {
             let gather = rand::rng().random_range(GATHER);
             self.context.timer.wait(Duration::from_millis(gather)).await;
-            if self.untold().is_none() {
+            if self.records_to_write().is_none() {
                 break;
             }
             match self.write().await {
@@ -60,7 +60,7 @@
         let name = self.context.endpoints.noting_entry().ok_or(StoreError::Away("no endpoint is registered"))?;
         let entry = self.client.read(ObjectKind::Endpoint, &name).await?;
         self.context.quarantine.read_entry(&entry);
-        let Some(records) = self.untold() else {
+        let Some(records) = self.records_to_write() else {
             return Ok(());
         };
         self.client.write_crashes(&entry, &records).await?;
@@ -69,7 +69,7 @@
         Ok(())
     }
 
-    fn untold(&self) -> Option<CrashRecords> {
-        self.context.quarantine.untold(is_reader(&self.context))
+    fn records_to_write(&self) -> Option<CrashRecords> {
+        self.context.quarantine.records_to_write(is_reader(&self.context))
     }
 }
--- a/crates/hollyhook_gateway/src/store/rollout_worker.rs
+++ b/crates/hollyhook_gateway/src/store/rollout_worker.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use async_std::task;
-use hollyhook_core::{RolloutState, RolloutStep, TrialEvidence, VersionVerdict, judge_version};
+use hollyhook_core::{RolloutState, RolloutStep, TrialEvidence, VersionVerdict, evaluate_version};
 use hollyhook_platform::{ObjectKind, TrialReport};
 use rand::Rng;
 
@@ -91,8 +91,8 @@
         let mut evidence = self.context.rollouts.evidence(&rollout.order.service);
         let is_meant =
             |report: &&TrialReport| report.service == rollout.order.service && report.target == rollout.order.target;
-        reports.iter().filter(is_meant).for_each(|report| evidence.join(&report.evidence));
-        let verdict = judge_version(&evidence);
+        reports.iter().filter(is_meant).for_each(|report| evidence.merge(&report.evidence));
+        let verdict = evaluate_version(&evidence);
         match rollout.plan().step(self.context.timer.now(), verdict) {
             RolloutStep::Wait => Ok(()),
             RolloutStep::Write(state) => self.write(rollout, state, verdict, &evidence).await,
