--- a/crates/hollyhook_core/src/quarantine/crash_ledger.rs
+++ b/crates/hollyhook_core/src/quarantine/crash_ledger.rs
@@ -6,25 +6,27 @@
 use super::{CrashRecord, RequestDigest};
 use crate::Name;
 
-/// Endpoints that may end under a request until it is refused. One or two may end by chance just then.
-const MOST_ENDS: usize = 3;
-/// Endpoints that end under a request until other hosts are told while it is still being tried here.
-const TOLD_FROM: usize = 2;
-/// How long a request is refused after an endpoint last ended under it. By then its endpoints may run another version.
-const LIFETIME: Duration = Duration::from_hours(1);
-/// How long after an end what other hosts saw of it may still be on its way here.
-const SETTLING: Duration = Duration::from_secs(2);
-/// Requests that are remembered, in memory and in the platform's store.
-const MOST_RECORDS: usize = 128;
-
-/// What all hosts know of requests under which endpoints ended: by request.
+/// Endpoint crashes from which a request is refused. One or two may coincide with the request by chance.
+const CRASH_THRESHOLD: usize = 3;
+/// Endpoint crashes from which a request that this host still retries is shared with the other hosts.
+const SHARE_THRESHOLD: usize = 2;
+/// How long a record is kept after its last update, and so how long a request is refused after the last crash. By then
+/// its endpoints may run another version.
+const RECORD_LIFETIME: Duration = Duration::from_hours(1);
+/// How long records of other hosts about the same crash may take to arrive here.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
+/// Requests with a record, in memory and in the platform's store.
+const MAX_RECORDS: usize = 128;
+
+/// The crash records of all hosts, by request.
 pub type CrashRecords = BTreeMap<RequestDigest, CrashRecord>;
 
-/// Which requests end the endpoints that run them, by what this host saw and what others told it.
+/// Finds the requests that crash the endpoints which run them, from the crashes seen by this host and by the others.
 ///
-/// When an endpoint ends, all that it ran is lost with it, so that others look as guilty as the request that ended it. Three
-/// things part them: a request that an endpoint has run without ending starts anew; the request under which most ended
-/// explains those, so that they don't count for others; and it takes three.
+/// An endpoint that crashes loses all requests that it runs, so each of them could be the cause. Three rules separate
+/// the cause from the rest: a request that an endpoint has run without crashing starts again from zero; crashes
+/// attributed to the request with the most of them don't count against other requests; and a request is refused only
+/// from three crashes on.
 ///
 /// ```
 /// use hollyhook_core::{CrashLedger, RequestDigest};
@@ -32,147 +34,152 @@
 /// let (mut ledger, digest) = (CrashLedger::default(), RequestDigest::new("/draft/a", None, b""));
 /// for endpoint in ["a", "b", "c"] {
 ///     assert_eq!(ledger.refusal(1_000, &digest), None);
-///     ledger.note_end(1_000, digest, endpoint.into());
+///     ledger.record_crash(1_000, digest, endpoint.into());
 /// }
 /// assert!(ledger.refusal(1_000, &digest).is_some());
 /// ```
 #[derive(Debug, Default)]
 pub struct CrashLedger {
     entries: BTreeMap<RequestDigest, LedgerEntry>,
-    /// What the platform's store holds, as far as this host has heard.
+    /// The records in the platform's store, as last read.
     stored: CrashRecords,
     refused: BTreeSet<RequestDigest>,
-    breaks: UnansweredList,
+    unanswered: UnansweredList,
 }
 
 #[derive(Debug, Default)]
 struct LedgerEntry {
     record: CrashRecord,
-    /// Whether other hosts are to know of it.
-    is_told: bool,
-    /// Whether an endpoint ended under it at this host.
-    is_own: bool,
+    /// Whether the record belongs in the platform's store, where the other hosts read it.
+    is_shared: bool,
+    /// Whether an endpoint crashed while running the request for this host.
+    is_local: bool,
 }
 
-/// The requests that a change made refused, and those that it cleared.
+/// The requests whose refusal an update of the ledger started or ended.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct QuarantineChange {
-    /// Refused from now on.
+    /// Requests that are refused from now on.
     pub refused: Vec<RequestDigest>,
-    /// Served again.
+    /// Requests that are no longer refused.
     pub cleared: Vec<RequestDigest>,
 }
 
 impl CrashLedger {
-    /// Whether nothing is known of any request.
+    /// Whether there is neither a crash record nor an unanswered request.
     pub fn is_empty(&self) -> bool {
-        self.entries.is_empty() && self.breaks.is_empty()
+        self.entries.is_empty() && self.unanswered.is_empty()
     }
 
-    /// Notes that an endpoint ended under a request.
+    /// Records that an endpoint crashed while running a request.
     pub fn record_crash(&mut self, now: u64, digest: RequestDigest, endpoint: Name) -> QuarantineChange {
-        self.count_end(digest, endpoint, now, false);
-        self.judge(now)
+        self.add_crash(digest, endpoint, now, false);
+        self.update_refused(now)
     }
 
-    /// Notes that an endpoint left a request without an answer, and may have ended.
+    /// Records that an endpoint left a request without an answer, and may have crashed.
     ///
-    /// It counts once [`confirm_crash`](Self::confirm_crash) tells so, unless an endpoint has run the request meanwhile.
+    /// Counts as a crash once [`confirm_crash`](Self::confirm_crash) reports that the endpoint is gone, unless an
+    /// endpoint has run the request without crashing in between.
     pub fn record_unanswered(&mut self, now: u64, digest: RequestDigest, endpoint: Name) {
-        self.breaks.note(now, digest, endpoint);
+        self.unanswered.add(now, digest, endpoint);
     }
 
-    /// Notes that an endpoint is gone without having said that it leaves: requests that it had left without an answer
-    /// just before may have ended it.
+    /// Records that an endpoint is gone without having announced that it leaves.
+    ///
+    /// Each request that it left unanswered shortly before counts as a crash.
     pub fn confirm_crash(&mut self, now: u64, endpoint: &str) -> QuarantineChange {
-        for known in self.breaks.take(now, endpoint) {
-            self.count_end(known.digest, known.endpoint, known.at, known.is_given_up);
+        for request in self.unanswered.take(now, endpoint) {
+            self.add_crash(request.digest, request.endpoint, request.at, request.is_given_up);
         }
-        self.judge(now)
+        self.update_refused(now)
     }
 
-    /// Forgets breaks that nothing explained in time.
+    /// Removes unanswered requests whose endpoints were not confirmed to have crashed in time.
     pub fn expire_unanswered(&mut self, now: u64) {
-        self.breaks.forget_old(now);
+        self.unanswered.expire(now);
     }
 
-    /// Notes that a request is no longer tried here, whatever became of it.
+    /// Records that this host no longer retries a request, whatever the outcome, and shares the request's crashes.
     ///
-    /// Where each client attempt is sent only once, no host sees more than one end at a time.
+    /// Where each client attempt is sent to one endpoint only, no host sees more than one crash at a time.
     pub fn record_given_up(&mut self, digest: &RequestDigest) {
-        self.breaks.record_given_up(digest);
+        self.unanswered.mark_given_up(digest);
         if let Some(entry) = self.entries.get_mut(digest) {
-            entry.is_told |= entry.record.suspected().next().is_some();
+            entry.is_shared |= entry.record.recent_crashes().next().is_some();
         }
     }
 
-    /// Notes that an endpoint ran a request and did not end.
+    /// Records that an endpoint ran a request without crashing.
     pub fn record_survival(&mut self, now: u64, digest: &RequestDigest) -> QuarantineChange {
-        self.breaks.forget(digest);
+        self.unanswered.remove(digest);
         let Some(entry) = self.entries.get_mut(digest) else {
             return QuarantineChange::default();
         };
         entry.record.survived_at = now;
-        if !entry.is_told {
+        if !entry.is_shared {
             self.entries.remove(digest);
         }
-        self.judge(now)
+        self.update_refused(now)
     }
 
-    /// Takes in what the platform's store holds.
+    /// Merges the records read from the platform's store.
     pub fn merge_stored(&mut self, now: u64, stored: CrashRecords) -> QuarantineChange {
         for (digest, record) in &stored {
             let entry = self.entries.entry(*digest).or_default();
             entry.record.merge(record);
-            entry.is_told = true;
+            entry.is_shared = true;
         }
         self.stored = stored;
-        self.judge(now)
+        self.update_refused(now)
     }
 
-    /// What the platform's store should hold, if this host is to write it.
+    /// The records that the platform's store should hold, if this host has to write them; `None` if it has not.
     ///
-    /// Each host writes what it saw itself. What is missing there of what others saw, since it went with an entry or the
-    /// store came back from an older copy of itself, is written again by those who read the store for others
-    /// (`is_reader`): a few hosts at any size of a site.
+    /// Each host writes the records of crashes that it saw itself. Records of other hosts that are missing in the
+    /// store, because an endpoint's entry was removed with them or the store was restored from an older copy, are
+    /// written again by the hosts that read the store on behalf of others (`is_reader`): only a few at any size of a
+    /// site.
     pub fn records_to_write(&self, is_reader: bool) -> Option<CrashRecords> {
-        let told = self.entries.iter().filter(|(_, entry)| entry.is_told);
-        let records = || told.map(|(digest, entry)| (*digest, entry.record.clone())).collect();
+        let shared = self.entries.iter().filter(|(_, entry)| entry.is_shared);
+        let records = || shared.map(|(digest, entry)| (*digest, entry.record.clone())).collect();
         self.has_records_to_write(is_reader).then(records)
     }
 
-    /// Whether this host is to write anything.
+    /// Whether the store lacks a record, or holds another version of one, that this host has to write.
     pub fn has_records_to_write(&self, is_reader: bool) -> bool {
-        let told = self.entries.iter().filter(|(_, entry)| entry.is_told && (entry.is_own || is_reader));
-        told.into_iter().any(|(digest, entry)| self.stored.get(digest) != Some(&entry.record))
+        let owed = self.entries.iter().filter(|(_, entry)| entry.is_shared && (entry.is_local || is_reader));
+        owed.into_iter().any(|(digest, entry)| self.stored.get(digest) != Some(&entry.record))
     }
 
-    /// Whether an endpoint ended under a request since it last did no harm.
+    /// Whether an endpoint crashed while running a request since one last ran it without crashing.
     pub fn is_suspected(&self, digest: &RequestDigest) -> bool {
-        self.entries.get(digest).is_some_and(|entry| entry.record.suspected().next().is_some())
+        self.entries.get(digest).is_some_and(|entry| entry.record.recent_crashes().next().is_some())
     }
 
-    /// When the caller of a request that is refused should come back; none if it is served.
+    /// How long the caller of a refused request should wait before it tries again; `None` if the request is not
+    /// refused.
     ///
-    /// Soon, as long as what others saw may yet explain the crashes: then another request has done it. After that, when the request
-    /// would be tried again.
+    /// Short while records of other hosts may still arrive and attribute the crashes to another request; after that,
+    /// the time until this request's record expires.
     pub fn refusal(&self, now: u64, digest: &RequestDigest) -> Option<Duration> {
         let entry = self.entries.get(digest).filter(|_| self.refused.contains(digest))?;
-        let age = Duration::from_millis(now.saturating_sub(entry.record.noted_at()));
-        let left = LIFETIME.checked_sub(age).filter(|left| !left.is_zero())?;
-        Some(if age < SETTLING { SETTLING } else { left })
+        let age = Duration::from_millis(now.saturating_sub(entry.record.updated_at()));
+        let left = RECORD_LIFETIME.checked_sub(age).filter(|left| !left.is_zero())?;
+        Some(if age < SETTLE_TIME { SETTLE_TIME } else { left })
     }
 
-    fn count_end(&mut self, digest: RequestDigest, endpoint: Name, at: u64, is_given_up: bool) {
+    fn add_crash(&mut self, digest: RequestDigest, endpoint: Name, at: u64, is_given_up: bool) {
         let entry = self.entries.entry(digest).or_default();
         entry.record.crashes.insert(endpoint, at);
-        entry.is_own = true;
-        entry.is_told |= is_given_up || entry.record.suspected().count() >= TOLD_FROM;
+        entry.is_local = true;
+        entry.is_shared |= is_given_up || entry.record.recent_crashes().count() >= SHARE_THRESHOLD;
     }
 
-    fn judge(&mut self, now: u64) -> QuarantineChange {
-        self.forget_old(now);
-        let refused = self.find_guilty();
+    /// Recomputes which requests are refused, and returns the difference.
+    fn update_refused(&mut self, now: u64) -> QuarantineChange {
+        self.evict_records(now);
+        let refused = self.find_refused();
         let change = QuarantineChange {
             refused: refused.difference(&self.refused).copied().collect(),
             cleared: self.refused.difference(&refused).copied().collect(),
@@ -181,12 +188,13 @@
         change
     }
 
-    fn forget_old(&mut self, now: u64) {
-        let oldest = now.saturating_sub(LIFETIME.as_millis() as u64);
-        self.entries.retain(|_, entry| entry.record.noted_at() > oldest);
-        while self.entries.len() > MOST_RECORDS {
+    /// Removes expired records, then the oldest ones beyond the limit, starting with requests that are not refused.
+    fn evict_records(&mut self, now: u64) {
+        let oldest = now.saturating_sub(RECORD_LIFETIME.as_millis() as u64);
+        self.entries.retain(|_, entry| entry.record.updated_at() > oldest);
+        while self.entries.len() > MAX_RECORDS {
             let by_age = |(digest, entry): &(&RequestDigest, &LedgerEntry)| {
-                (self.refused.contains(digest), entry.record.noted_at())
+                (self.refused.contains(digest), entry.record.updated_at())
             };
             let Some(digest) = self.entries.iter().min_by_key(by_age).map(|(digest, _)| *digest) else {
                 return;
@@ -195,25 +203,27 @@
         }
     }
 
-    /// The requests under which enough endpoints ended that no other request explains.
+    /// The requests with enough crashes that no other request explains.
     ///
-    /// Those with as many ends are judged together: which of them did it is not known yet, and the next end tells.
-    fn find_guilty(&self) -> BTreeSet<RequestDigest> {
+    /// Requests with the same number of crashes are judged together: which of them is the cause is not known until
+    /// another endpoint crashes.
+    fn find_refused(&self) -> BTreeSet<RequestDigest> {
         let suspects = self.entries.iter().map(|(digest, entry)| {
-            let ends: BTreeSet<&Name> = entry.record.suspected().collect();
-            (*digest, ends)
+            let crashes: BTreeSet<&Name> = entry.record.recent_crashes().collect();
+            (*digest, crashes)
         });
-        let mut suspects: Vec<_> = suspects.filter(|(_, ends)| ends.len() >= MOST_ENDS).collect();
-        suspects.sort_by_key(|(_, ends)| Reverse(ends.len()));
-        let mut guilty = BTreeSet::new();
+        let mut suspects: Vec<_> = suspects.filter(|(_, crashes)| crashes.len() >= CRASH_THRESHOLD).collect();
+        suspects.sort_by_key(|(_, crashes)| Reverse(crashes.len()));
+        let mut refused = BTreeSet::new();
         let mut explained: BTreeSet<&Name> = BTreeSet::new();
-        for level in suspects.chunk_by(|(_, one), (_, other)| one.len() == other.len()) {
-            let is_guilty = |(_, ends): &&(_, BTreeSet<&Name>)| ends.difference(&explained).count() >= MOST_ENDS;
-            let found: Vec<_> = level.iter().filter(is_guilty).collect();
-            guilty.extend(found.iter().map(|(digest, _)| *digest));
-            let ends: BTreeSet<&Name> = found.iter().flat_map(|(_, ends)| ends.iter().copied()).collect();
-            explained.extend(ends);
+        for group in suspects.chunk_by(|(_, left), (_, right)| left.len() == right.len()) {
+            let is_cause =
+                |(_, crashes): &&(_, BTreeSet<&Name>)| crashes.difference(&explained).count() >= CRASH_THRESHOLD;
+            let found: Vec<_> = group.iter().filter(is_cause).collect();
+            refused.extend(found.iter().map(|(digest, _)| *digest));
+            let crashes: BTreeSet<&Name> = found.iter().flat_map(|(_, crashes)| crashes.iter().copied()).collect();
+            explained.extend(crashes);
         }
-        guilty
+        refused
     }
 }
--- a/crates/hollyhook_core/src/quarantine/mod.rs
+++ b/crates/hollyhook_core/src/quarantine/mod.rs
@@ -1,4 +1,4 @@
-//! Requests that end the endpoints which run them: how they are told from others, and refused by all hosts.
+//! Quarantine: finds requests that crash the endpoints which run them, so that all hosts refuse them.
 
 mod crash_ledger;
 mod crash_record;
--- a/crates/hollyhook_core/src/quarantine/request_digest.rs
+++ b/crates/hollyhook_core/src/quarantine/request_digest.rs
@@ -3,12 +3,12 @@
 
 use sha2::{Digest, Sha256};
 
-/// Bytes that are kept of a hash.
+/// Length of a digest, in bytes.
 const LENGTH: usize = 16;
 
-/// Names a request by what it asks, whichever host it comes to and in whichever client attempt.
+/// Identifies a request by its content: equal at all hosts and for all client attempts of the same request.
 ///
-/// `SHA-256` over path, account and body, each after its length, cut to 128 bits.
+/// `SHA-256` over path, account and body, each prefixed with its length, truncated to 128 bits.
 ///
 /// ```
 /// use hollyhook_core::RequestDigest;
@@ -22,7 +22,7 @@
 pub struct RequestDigest([u8; LENGTH]);
 
 impl RequestDigest {
-    /// The digest of a request: its path with the query, the client account that asks, and the body.
+    /// The digest of a request: of its path with the query, the client account that sent it, and its body.
     pub fn new(path: &str, account: Option<&str>, body: &[u8]) -> Self {
         let mut hash = Sha256::new();
         for part in [path.as_bytes(), account.unwrap_or_default().as_bytes(), body] {
@@ -47,13 +47,13 @@
     }
 }
 
-/// What is wrong with the text of a digest.
+/// The text is not a digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DigestError;
 
 impl fmt::Display for DigestError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a digest has {} hexadecimal digits", 2 * LENGTH)
+        write!(f, "invalid request digest: expected {} hexadecimal digits", 2 * LENGTH)
     }
 }
 
--- a/crates/hollyhook_core/src/quarantine/unanswered_list.rs
+++ b/crates/hollyhook_core/src/quarantine/unanswered_list.rs
@@ -1,60 +1,64 @@
 use super::RequestDigest;
 use crate::Name;
 
-/// How long after a break an endpoint's next start, or the end of its entry, explains it, in milliseconds: three heartbeats and
-/// what the list lags behind.
-const EXPLAINED_WITHIN: u64 = 8_000;
-/// Breaks that are remembered. A zone that is lost breaks some hundred at each host.
-const MOST_BREAKS: usize = 512;
+/// How long after a request was left unanswered a restart of its endpoint, or the removal of the endpoint's entry, is
+/// taken as proof that the endpoint crashed, in milliseconds: three heartbeats plus the lag of the endpoint list.
+const CONFIRM_WINDOW_MS: u64 = 8_000;
+/// Unanswered requests to remember. The loss of a zone leaves about a hundred at each host.
+const MAX_REQUESTS: usize = 512;
 
 /// A request that an endpoint left without an answer.
 #[derive(Debug)]
 pub(super) struct UnansweredRequest {
     pub(super) digest: RequestDigest,
     pub(super) endpoint: Name,
-    /// The Unix millisecond.
+    /// When the attempt failed, in Unix milliseconds.
     pub(super) at: u64,
-    /// Whether the request is no longer tried here.
+    /// Whether this host has stopped retrying the request.
     pub(super) is_given_up: bool,
 }
 
-/// Breaks of which it is not known whether the endpoint ended: links break too, and endpoints fall silent for a while.
+/// Requests left without an answer by endpoints that are not known to have crashed.
+///
+/// Links fail too, and endpoints that still run stop answering for a while.
 #[derive(Debug, Default)]
 pub(super) struct UnansweredList {
-    breaks: Vec<UnansweredRequest>,
+    requests: Vec<UnansweredRequest>,
 }
 
 impl UnansweredList {
     pub(super) fn is_empty(&self) -> bool {
-        self.breaks.is_empty()
+        self.requests.is_empty()
     }
 
-    pub(super) fn note(&mut self, now: u64, digest: RequestDigest, endpoint: Name) {
-        self.forget_old(now);
-        if self.breaks.len() < MOST_BREAKS {
-            self.breaks.push(UnansweredRequest { digest, endpoint, at: now, is_given_up: false });
+    /// Adds a request, unless the list is full.
+    pub(super) fn add(&mut self, now: u64, digest: RequestDigest, endpoint: Name) {
+        self.expire(now);
+        if self.requests.len() < MAX_REQUESTS {
+            self.requests.push(UnansweredRequest { digest, endpoint, at: now, is_given_up: false });
         }
     }
 
-    /// Takes out the breaks that the end of an endpoint explains.
+    /// Removes and returns the requests that an endpoint left unanswered within the confirmation window.
     pub(super) fn take(&mut self, now: u64, endpoint: &str) -> Vec<UnansweredRequest> {
-        self.forget_old(now);
-        self.breaks.extract_if(.., |known| *known.endpoint == *endpoint).collect()
+        self.expire(now);
+        self.requests.extract_if(.., |request| *request.endpoint == *endpoint).collect()
     }
 
-    /// Forgets the breaks of a request that an endpoint has run since without ending.
-    pub(super) fn forget(&mut self, digest: &RequestDigest) {
-        self.breaks.retain(|known| known.digest != *digest);
+    /// Removes a request that an endpoint has run without crashing since.
+    pub(super) fn remove(&mut self, digest: &RequestDigest) {
+        self.requests.retain(|request| request.digest != *digest);
     }
 
-    pub(super) fn record_given_up(&mut self, digest: &RequestDigest) {
-        for known in self.breaks.iter_mut().filter(|known| known.digest == *digest) {
-            known.is_given_up = true;
+    /// Marks a request that this host no longer retries.
+    pub(super) fn mark_given_up(&mut self, digest: &RequestDigest) {
+        for request in self.requests.iter_mut().filter(|request| request.digest == *digest) {
+            request.is_given_up = true;
         }
     }
 
-    /// Forgets what is too old to be explained.
-    pub(super) fn forget_old(&mut self, now: u64) {
-        self.breaks.retain(|known| now.saturating_sub(known.at) < EXPLAINED_WITHIN);
+    /// Removes the requests whose confirmation window is over.
+    pub(super) fn expire(&mut self, now: u64) {
+        self.requests.retain(|request| now.saturating_sub(request.at) < CONFIRM_WINDOW_MS);
     }
 }
