--- a/crates/hollyhook_core/src/call/call_guard.rs
+++ b/crates/hollyhook_core/src/call/call_guard.rs
@@ -3,62 +3,63 @@
 /// What the driver reports to a [`CallGuard`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallEvent {
-    /// The call was admitted.
+    /// The call was accepted and needs an endpoint.
     Started,
-    /// An endpoint was found.
+    /// An endpoint was chosen for the call.
     Assigned {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// No endpoint can take it now.
+    /// No endpoint can take the call now.
     Unassigned,
-    /// The connection could not be made: no byte was written.
+    /// The connection to the endpoint could not be made: no byte was written.
     ConnectFailed,
-    /// The first byte is about to be written.
+    /// The first byte of the request is about to be written.
     Sending,
-    /// The whole answer came.
+    /// The whole answer arrived.
     Answered,
-    /// The connection broke before the whole answer came.
+    /// The connection broke before the whole answer arrived.
     ConnectionLost,
-    /// The retry that was asked for was refused by the budget.
+    /// The retry budget refused the retry that `Assign` requested.
     RetryRefused,
-    /// The caller's time is over.
+    /// The caller's deadline has passed.
     DeadlinePassed,
 }
 
-/// What a [`CallGuard`] asks its driver to do.
+/// What a [`CallGuard`] requests from its driver.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallAction {
-    /// Find an endpoint, avoiding those.
+    /// Choose an endpoint and report `Assigned`, `Unassigned` or `RetryRefused`.
     Assign {
-        /// Endpoints that failed this call before.
+        /// Endpoints to avoid, since an earlier attempt at this call failed there.
         avoid: Vec<EndpointId>,
-        /// Whether the retry budget has to pay.
+        /// Whether the attempt is a retry, to be charged to the retry budget.
         is_retry: bool,
     },
-    /// Connect to the endpoint, report `Sending`, write.
+    /// Connect to the endpoint, report `Sending`, then write the request.
     Send {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Give the caller the final word.
+    /// Report the outcome to the caller; no further action follows.
     Finish(CallOutcome),
 }
 
-/// The final word on a call.
+/// The final outcome of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum CallOutcome {
-    /// The endpoint's whole answer came.
+    /// The endpoint's whole answer arrived.
     Answered,
     /// No byte was written to any endpoint.
     NotRun,
-    /// It was sent, and no answer came.
+    /// The call was sent, in whole or in part, and no whole answer arrived: it may or may not have run.
     Unknown,
 }
 
-/// Sends one call to a plain service, and never twice if it may not be repeated.
+/// State machine of one call to a plain service; a call that may not be repeated is sent at most once.
 ///
-/// Goes not run → sent → answered or unknown. "Not run" is said only while no byte has been written.
+/// The call goes from not run to sent, then to answered or unknown. The outcome is `NotRun` only if no byte has been
+/// written to any endpoint.
 #[derive(Debug)]
 pub struct CallGuard {
     is_repeatable: bool,
@@ -73,7 +74,7 @@
 impl CallGuard {
     const MAX_TRIES: u32 = 4;
 
-    /// A guard of a new call; `deadline` is when the caller stops waiting.
+    /// Creates the guard of a new call; `deadline` is when the caller stops waiting.
     pub fn new(is_repeatable: bool, deadline: TimePoint) -> Self {
         Self {
             is_repeatable,
@@ -91,7 +92,7 @@
         self.was_sent
     }
 
-    /// Takes one event and says what to do, if anything.
+    /// Handles one event; returns the driver's next action, or `None` if there is none.
     pub fn on(&mut self, now: TimePoint, event: CallEvent) -> Option<CallAction> {
         if self.is_done {
             return None;
@@ -106,7 +107,7 @@
             CallEvent::Answered => Some(self.finish(CallOutcome::Answered)),
             CallEvent::Unassigned | CallEvent::RetryRefused | CallEvent::DeadlinePassed => Some(self.give_up()),
             CallEvent::ConnectFailed => Some(self.retry(now)),
-            CallEvent::ConnectionLost => Some(self.lose(now)),
+            CallEvent::ConnectionLost => Some(self.handle_loss(now)),
         }
     }
 
@@ -120,7 +121,7 @@
         CallAction::Send { endpoint }
     }
 
-    fn lose(&mut self, now: TimePoint) -> CallAction {
+    fn handle_loss(&mut self, now: TimePoint) -> CallAction {
         if self.was_sent && !self.is_repeatable {
             return self.finish(CallOutcome::Unknown);
         }
--- a/crates/hollyhook_core/src/call/claim_ledger.rs
+++ b/crates/hollyhook_core/src/call/claim_ledger.rs
@@ -2,23 +2,23 @@
 
 use crate::Name;
 
-/// One claim on an idempotency key.
+/// The claim of one call on an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
     /// A digest of client account, service and key, in hexadecimal.
     pub key: Name,
     /// A digest of the request, in hexadecimal.
     pub request: Name,
-    /// Names this one claim, so that its maker recognises it when the reply to the write was lost.
+    /// The unique name of the claim, by which the host that made it recognises it if the reply to the write was lost.
     pub claim: Name,
-    /// When it was made, in Unix seconds.
+    /// When the claim was made, in Unix seconds.
     pub made_at: u64,
-    /// The status and body of the answer, once known and small enough to keep.
+    /// The answer to the call, once known, if it is small enough to keep.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub answer: Option<ClaimAnswer>,
 }
 
-/// The answer that a repeated call gets again.
+/// The stored answer to a call, replayed when the call is repeated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimAnswer {
     /// The HTTP status.
@@ -29,28 +29,28 @@
     pub body: Name,
 }
 
-/// What a ledger says of a key.
+/// The state of a key with regard to a wanted claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// Nobody holds it.
+    /// No claim holds the key.
     Free,
-    /// The claim with this name is the asker's own.
+    /// The wanted claim itself holds the key.
     Own,
-    /// Another call with the same key and request holds it.
+    /// Another call with the same request holds the key.
     Held(ClaimRecord),
-    /// The key was used with another request.
+    /// A call with another request holds the key.
     Reused,
 }
 
-/// The claims of one shard of keys, as one object of the platform holds them.
+/// The claims on one shard of the keys, stored as one object of the platform.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimLedger {
     records: Vec<ClaimRecord>,
 }
 
 impl ClaimLedger {
-    /// What the ledger says of a claim that someone wants to make.
-    pub fn judge(&self, wanted: &ClaimRecord) -> ClaimVerdict {
+    /// The state of the key that a claim is wanted on.
+    pub fn verdict(&self, wanted: &ClaimRecord) -> ClaimVerdict {
         let Some(held) = self.records.iter().find(|record| record.key == wanted.key) else {
             return ClaimVerdict::Free;
         };
@@ -63,7 +63,7 @@
         ClaimVerdict::Held(held.clone())
     }
 
-    /// Adds a claim on a free key, or updates the claim with the same name.
+    /// Replaces the claim with the same name, or adds the claim if there is none.
     pub fn put(&mut self, record: ClaimRecord) {
         match self.records.iter_mut().find(|held| held.claim == record.claim) {
             Some(held) => *held = record,
@@ -71,18 +71,18 @@
         }
     }
 
-    /// Gives a key back whose call was certainly not run.
+    /// Removes the claim of a call that certainly did not run, so that its key is free again.
     pub fn release(&mut self, claim: &str) {
         self.records.retain(|record| &*record.claim != claim);
     }
 
-    /// Forgets claims made before that time, in Unix seconds.
+    /// Removes claims made before a time, in Unix seconds.
     pub fn expire(&mut self, before: u64) {
         self.records.retain(|record| record.made_at >= before);
     }
 
-    /// Forgets the answers of claims made before that time, in Unix seconds, but not the claims.
-    pub fn forget_answers(&mut self, before: u64) {
+    /// Removes the answers of claims made before a time, in Unix seconds, but keeps the claims.
+    pub fn expire_answers(&mut self, before: u64) {
         for record in self.records.iter_mut().filter(|record| record.made_at < before) {
             record.answer = None;
         }
@@ -93,7 +93,7 @@
         self.records.len()
     }
 
-    /// Whether there is no claim.
+    /// Whether the ledger holds no claim.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/crates/hollyhook_core/src/call/claim_shard.rs
+++ b/crates/hollyhook_core/src/call/claim_shard.rs
@@ -4,75 +4,75 @@
 use super::{ClaimLedger, ClaimRecord, ClaimVerdict};
 use crate::Name;
 
-/// What is asked of a shard of claims.
+/// A command to a [`ClaimShard`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimCommand {
     /// Claim a key for a call that is about to be sent.
     Claim(ClaimRecord),
-    /// Keep the answer of a call for a repeat.
+    /// Store the answer to a call, to be replayed if the call is repeated.
     Answer(ClaimRecord),
-    /// Give a key back whose call was certainly not sent.
+    /// Free the key of a call that certainly was not sent.
     Release(ClaimRecord),
 }
 
 /// What the driver reports to a [`ClaimShard`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimEvent {
-    /// Something is asked.
+    /// A command was submitted.
     Submitted(ClaimCommand),
-    /// The write that `Put` asked for took effect.
+    /// The write that `Put` requested took effect.
     Written {
-        /// The version that it made.
+        /// The object's new version.
         version: u64,
     },
-    /// The write did not take effect: the object had another version.
+    /// The write did not take effect, since the object had another version.
     Conflicted,
     /// The write did not reach the platform.
     Unavailable,
-    /// The write may have taken effect or not.
+    /// No reply to the write arrived: it may or may not have taken effect.
     Unanswered,
-    /// The read that `Load` asked for came back.
+    /// The read that `Load` requested succeeded.
     Loaded {
-        /// The claims.
+        /// The claims in the object.
         ledger: ClaimLedger,
-        /// Their version; none if there is no object yet.
+        /// The object's version; `None` if the object does not exist yet.
         version: Option<u64>,
     },
     /// The read failed.
     LoadFailed,
-    /// The time that `SetTimer` asked for has come.
+    /// The timer that `SetTimer` requested fired.
     TimerFired,
 }
 
-/// What a [`ClaimShard`] asks its driver to do.
+/// What a [`ClaimShard`] requests from its driver.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimAction {
-    /// Write the ledger if the object still has that version; none means that it does not exist.
+    /// Write the ledger to the object if the object still has the given version.
     Put {
-        /// The claims.
+        /// The claims to write.
         ledger: ClaimLedger,
-        /// The version that they build on.
+        /// The version that the ledger is based on; `None` if the object must not exist yet.
         version: Option<u64>,
     },
-    /// Read the object.
+    /// Read the object and report `Loaded` or `LoadFailed`.
     Load,
-    /// Tell whoever made a claim what the platform says of it.
+    /// Report the verdict on a claim to its caller.
     Resolve {
         /// The claim's name.
         claim: Name,
-        /// What the ledger says; `Free` means that it had no room.
+        /// The state of the key; `Free` means that the ledger was full, so that the claim was not made.
         verdict: ClaimVerdict,
     },
-    /// Tell whoever made a claim that it could not be made; the call must not be sent.
+    /// Report to its caller that a claim could not be made; the call must not be sent.
     Refuse {
         /// The claim's name.
         claim: Name,
-        /// Why.
+        /// Why the claim could not be made.
         refusal: ClaimRefusal,
     },
-    /// Fire a timer after that long.
+    /// Set a timer that reports `TimerFired`.
     SetTimer {
-        /// How long.
+        /// The delay until the timer fires.
         after: Duration,
     },
 }
@@ -82,15 +82,17 @@
 pub enum ClaimRefusal {
     /// The platform is down.
     Unavailable,
-    /// The platform did not answer, and may have taken the claim.
+    /// The platform did not answer, and may have stored the claim.
     Unanswered,
-    /// Other hosts kept writing the shard first.
+    /// Writes of other hosts to the same shard kept conflicting with this host's.
     Contended,
 }
 
-/// Claims keys in one object of the platform, many in one write, on the condition that nobody wrote it since.
+/// State machine that stores the claims on one shard of the keys in one object of the platform.
 ///
-/// A call may be sent only after `Resolve` with `Own`, which is said only of a ledger that the platform holds.
+/// Claims are batched into one conditional write, which fails if another host has written the object since it was read.
+/// A call may be sent only after `Resolve` with the verdict `Own`, which is returned only for a ledger that the
+/// platform holds.
 #[derive(Debug)]
 pub struct ClaimShard {
     policy: ClaimPolicy,
@@ -100,26 +102,27 @@
     batch: Vec<ClaimCommand>,
     written: Option<ClaimLedger>,
     conflicts: u32,
-    /// Claims that may stand in the platform though their calls were refused.
+    /// Claims to remove from the platform: their calls were refused or not sent, but the claims may be stored.
     releases: Vec<ClaimRecord>,
     actions: Vec<ClaimAction>,
 }
 
-/// The bounds of a [`ClaimShard`].
+/// The limits and time spans of a [`ClaimShard`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimPolicy {
-    /// How long a claim is remembered.
+    /// How long a claim is kept.
     pub key_age: Duration,
-    /// How long an answer is kept for a repeat.
+    /// How long an answer is kept for replay.
     pub answer_age: Duration,
-    /// Claims in one object, which keeps it below the platform's megabyte.
+    /// Maximum number of claims in one object, which keeps it below the platform's limit of one megabyte.
     pub max_claims: usize,
-    /// Orders in one write.
+    /// Maximum number of commands in one write.
     pub max_batch: usize,
-    /// Writes that may lose against another host before the callers are told to come back.
+    /// Conflicting or unanswered writes of a batch after which its claims are refused, so that the callers try again
+    /// later.
     pub max_conflicts: u32,
-    /// The pause before a release is tried again.
-    pub release_pause: Duration,
+    /// The delay before a failed release is tried again.
+    pub release_retry_delay: Duration,
 }
 
 impl Default for ClaimPolicy {
@@ -130,13 +133,13 @@
             max_claims: 2_000,
             max_batch: 128,
             max_conflicts: 8,
-            release_pause: Duration::from_millis(500),
+            release_retry_delay: Duration::from_millis(500),
         }
     }
 }
 
 impl ClaimShard {
-    /// A shard of which nothing is known yet.
+    /// Creates a shard whose object has not been read yet.
     pub fn new(policy: ClaimPolicy) -> Self {
         Self {
             policy,
@@ -151,28 +154,28 @@
         }
     }
 
-    /// Takes one event and says what to do; `now` is in Unix seconds.
+    /// Handles one event and returns the driver's next actions; `now` is in Unix seconds.
     pub fn on(&mut self, now: u64, event: ClaimEvent) -> Vec<ClaimAction> {
         match event {
-            ClaimEvent::Submitted(order) => self.submit(now, order),
-            ClaimEvent::Written { version } => self.wrote(now, version),
+            ClaimEvent::Submitted(command) => self.submit(now, command),
+            ClaimEvent::Written { version } => self.handle_written(now, version),
             ClaimEvent::Conflicted | ClaimEvent::Unanswered => self.reload(),
             ClaimEvent::Unavailable => self.give_up(now, ClaimRefusal::Unavailable),
-            ClaimEvent::Loaded { ledger, version } => self.loaded(now, ledger, version),
+            ClaimEvent::Loaded { ledger, version } => self.handle_loaded(now, ledger, version),
             ClaimEvent::LoadFailed => self.give_up(now, ClaimRefusal::Unanswered),
             ClaimEvent::TimerFired => self.retry_releases(now),
         }
         std::mem::take(&mut self.actions)
     }
 
-    fn submit(&mut self, now: u64, order: ClaimCommand) {
-        self.queue.push_back(order);
+    fn submit(&mut self, now: u64, command: ClaimCommand) {
+        self.queue.push_back(command);
         if self.batch.is_empty() {
-            self.begin(now);
+            self.begin_batch(now);
         }
     }
 
-    fn begin(&mut self, now: u64) {
+    fn begin_batch(&mut self, now: u64) {
         let count = self.queue.len().min(self.policy.max_batch);
         self.batch = self.queue.drain(..count).collect();
         self.conflicts = 0;
@@ -181,9 +184,9 @@
         }
     }
 
-    /// A batch that changes nothing needs no write, but a read: another host may have written since.
+    /// Writes the batch; a batch that changes nothing only reads, since another host may have written in the meantime.
     fn write(&mut self, now: u64) {
-        let ledger = self.applied(now);
+        let ledger = self.apply_batch(now);
         if ledger == self.ledger && self.version.is_some() {
             return self.actions.push(ClaimAction::Load);
         }
@@ -195,26 +198,27 @@
         self.written = Some(ledger);
     }
 
-    /// The ledger with the batch in it, as far as it holds.
-    fn applied(&self, now: u64) -> ClaimLedger {
+    /// The known ledger with the batch applied: claims on free keys while there is room, answers to own claims,
+    /// releases.
+    fn apply_batch(&self, now: u64) -> ClaimLedger {
         let mut ledger = self.ledger.clone();
         ledger.expire(now.saturating_sub(self.policy.key_age.as_secs()));
-        ledger.forget_answers(now.saturating_sub(self.policy.answer_age.as_secs()));
-        // Keys that are given back come first: a claim of the same batch may be on one of them.
-        for order in &self.batch {
-            if let ClaimCommand::Release(record) = order {
+        ledger.expire_answers(now.saturating_sub(self.policy.answer_age.as_secs()));
+        // Releases go first, since a claim of the same batch may be on a key that they free.
+        for command in &self.batch {
+            if let ClaimCommand::Release(record) = command {
                 ledger.release(&record.claim);
             }
         }
-        for order in &self.batch {
-            match order {
+        for command in &self.batch {
+            match command {
                 ClaimCommand::Claim(record) => {
-                    if ledger.judge(record) == ClaimVerdict::Free && ledger.len() < self.policy.max_claims {
+                    if ledger.verdict(record) == ClaimVerdict::Free && ledger.len() < self.policy.max_claims {
                         ledger.put(record.clone());
                     }
                 }
                 ClaimCommand::Answer(record) => {
-                    if ledger.judge(record) == ClaimVerdict::Own {
+                    if ledger.verdict(record) == ClaimVerdict::Own {
                         ledger.put(record.clone());
                     }
                 }
@@ -224,30 +228,30 @@
         ledger
     }
 
-    fn wrote(&mut self, now: u64, version: u64) {
+    fn handle_written(&mut self, now: u64, version: u64) {
         let Some(ledger) = self.written.take() else {
             return;
         };
         self.ledger = ledger;
         self.version = Some(version);
-        self.settle();
-        self.begin(now);
+        self.resolve_claims();
+        self.begin_batch(now);
     }
 
-    /// After a lost reply the object tells whether the claims are in it.
+    /// Reads the object again after a conflict, or after a lost reply to see whether the write took effect.
     fn reload(&mut self) {
         self.conflicts += 1;
         self.actions.push(ClaimAction::Load);
     }
 
-    fn loaded(&mut self, now: u64, ledger: ClaimLedger, version: Option<u64>) {
+    fn handle_loaded(&mut self, now: u64, ledger: ClaimLedger, version: Option<u64>) {
         self.ledger = ledger;
         self.version = version;
-        let applied = self.applied(now);
+        let applied = self.apply_batch(now);
         if applied == self.ledger {
-            // Every order is in effect already, or has no room.
-            self.settle();
-            return self.begin(now);
+            // Each command of the batch is in effect already, or was not applied, such as a claim on a full ledger.
+            self.resolve_claims();
+            return self.begin_batch(now);
         }
         if self.conflicts >= self.policy.max_conflicts {
             return self.give_up(now, ClaimRefusal::Contended);
@@ -255,24 +259,24 @@
         self.put(applied);
     }
 
-    fn settle(&mut self) {
+    fn resolve_claims(&mut self) {
         self.written = None;
-        for order in std::mem::take(&mut self.batch) {
-            if let ClaimCommand::Claim(record) = order {
-                let verdict = self.ledger.judge(&record);
+        for command in std::mem::take(&mut self.batch) {
+            if let ClaimCommand::Claim(record) = command {
+                let verdict = self.ledger.verdict(&record);
                 self.actions.push(ClaimAction::Resolve { claim: record.claim, verdict });
             }
         }
     }
 
-    /// Refuses the claims; what may have been written is released when the platform is back.
+    /// Refuses the claims of the batch; those that may have been stored are released once the platform is back.
     fn give_up(&mut self, now: u64, refusal: ClaimRefusal) {
         self.written = None;
-        for order in std::mem::take(&mut self.batch) {
-            match order {
+        for command in std::mem::take(&mut self.batch) {
+            match command {
                 ClaimCommand::Claim(record) => {
                     self.actions.push(ClaimAction::Refuse { claim: Name::clone(&record.claim), refusal });
-                    // An earlier write of the same batch may have been the one without an answer.
+                    // An earlier write of the same batch may have gone unanswered and taken effect.
                     if refusal == ClaimRefusal::Unanswered || self.conflicts > 0 {
                         self.releases.push(record);
                     }
@@ -282,16 +286,16 @@
             }
         }
         if !self.releases.is_empty() {
-            self.actions.push(ClaimAction::SetTimer { after: self.policy.release_pause });
+            self.actions.push(ClaimAction::SetTimer { after: self.policy.release_retry_delay });
         }
-        self.begin(now);
+        self.begin_batch(now);
     }
 
     fn retry_releases(&mut self, now: u64) {
         let releases = std::mem::take(&mut self.releases);
         self.queue.extend(releases.into_iter().map(ClaimCommand::Release));
         if self.batch.is_empty() {
-            self.begin(now);
+            self.begin_batch(now);
         }
     }
 }
--- a/crates/hollyhook_core/src/call/mod.rs
+++ b/crates/hollyhook_core/src/call/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services: at most once where they may not be repeated.
+//! Calls to plain services: a call that may not be repeated is sent at most once.
 
 mod call_guard;
 mod claim_ledger;
