--- a/crates/hollyhook_core/src/call/claim_ledger.rs
+++ b/crates/hollyhook_core/src/call/claim_ledger.rs
@@ -29,7 +29,7 @@
     pub body: Name,
 }
 
-/// The state of a key with regard to a wanted claim.
+/// Whether a wanted claim can be made on its key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimVerdict {
     /// No claim holds the key.
@@ -49,7 +49,7 @@
 }
 
 impl ClaimLedger {
-    /// The state of the key that a claim is wanted on.
+    /// Whether a wanted claim can be made, or holds its key already.
     pub fn verdict(&self, wanted: &ClaimRecord) -> ClaimVerdict {
         let Some(held) = self.records.iter().find(|record| record.key == wanted.key) else {
             return ClaimVerdict::Free;
--- a/crates/hollyhook_core/src/retry/mod.rs
+++ b/crates/hollyhook_core/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! Bounds on the work that failures cause: a budget for retries and a gate for resumes.
+//! Limits on the work that failures cause: budgets for retries, and concurrency gates for probes and resumes.
 
 mod probe_gate;
 mod resume_gate;
--- a/crates/hollyhook_core/src/retry/probe_gate.rs
+++ b/crates/hollyhook_core/src/retry/probe_gate.rs
@@ -2,81 +2,82 @@
 
 use crate::EndpointId;
 
-/// Whether a probe may go out.
+/// Whether a probe may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeAdmission {
-    /// It may go out now.
+    /// The probe may be sent now.
     Admitted,
-    /// It waits for a place, or for what another one finds.
+    /// The probe is queued until a slot is free or another probe finds the endpoint dead.
     Queued,
 }
 
-/// What became of probes that waited when one ended.
+/// The queued probes that the end of another probe released.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ProbeRelease {
-    /// These may go out now.
+    /// Probes that may be sent now.
     pub admitted: Vec<u64>,
-    /// These need not: the endpoint does not answer.
+    /// Probes that need not be sent, since the probe that ended found the endpoint dead.
     pub found_dead: Vec<u64>,
 }
 
-/// Bounds the probes to each endpoint, and lets one that finds it dead answer for all that wait.
+/// Limits the concurrent probes to each endpoint; a probe that finds the endpoint dead answers all probes queued for
+/// it.
 ///
-/// When a zone goes at once, every stream of it becomes suspect at once; without the bound a thousand streams on one
-/// endpoint are a thousand connections that time out.
+/// When a whole zone fails, all streams from it become suspect at the same time; without the limit a thousand streams
+/// from one endpoint would open a thousand connections that time out.
 #[derive(Debug)]
 pub struct ProbeGate {
     limit: usize,
-    slots: BTreeMap<EndpointId, ProbeSlot>,
+    queues: BTreeMap<EndpointId, EndpointQueue>,
 }
 
 #[derive(Debug, Default)]
-struct ProbeSlot {
+struct EndpointQueue {
     running: usize,
     waiting: VecDeque<u64>,
 }
 
 impl ProbeGate {
-    /// A gate that lets `limit` probes out to one endpoint at a time.
+    /// Creates a gate that admits `limit` concurrent probes to each endpoint.
     pub fn new(limit: usize) -> Self {
-        Self { limit, slots: BTreeMap::new() }
+        Self { limit, queues: BTreeMap::new() }
     }
 
-    /// Asks for a place; `probe` names the probe.
+    /// Admits a probe if a slot is free, otherwise queues it; `probe` identifies the probe.
     pub fn enter(&mut self, endpoint: &EndpointId, probe: u64) -> ProbeAdmission {
-        let slot = self.slots.entry(EndpointId::clone(endpoint)).or_default();
-        if slot.running < self.limit {
-            slot.running += 1;
+        let queue = self.queues.entry(EndpointId::clone(endpoint)).or_default();
+        if queue.running < self.limit {
+            queue.running += 1;
             return ProbeAdmission::Admitted;
         }
-        slot.waiting.push_back(probe);
+        queue.waiting.push_back(probe);
         ProbeAdmission::Queued
     }
 
-    /// Gives a place back with what the probe found.
+    /// Frees the slot of a probe that ended, and releases queued probes by its result.
     pub fn leave(&mut self, endpoint: &EndpointId, is_dead: bool) -> ProbeRelease {
         let mut release = ProbeRelease::default();
-        let Some(slot) = self.slots.get_mut(endpoint) else {
+        let Some(queue) = self.queues.get_mut(endpoint) else {
             return release;
         };
-        slot.running = slot.running.saturating_sub(1);
+        queue.running = queue.running.saturating_sub(1);
         if is_dead {
-            release.found_dead.extend(slot.waiting.drain(..));
+            release.found_dead.extend(queue.waiting.drain(..));
         }
-        while slot.running < self.limit
-            && let Some(probe) = slot.waiting.pop_front()
+        while queue.running < self.limit
+            && let Some(probe) = queue.waiting.pop_front()
         {
-            slot.running += 1;
+            queue.running += 1;
             release.admitted.push(probe);
         }
-        if slot.running == 0 {
-            self.slots.remove(endpoint);
+        if queue.running == 0 {
+            self.queues.remove(endpoint);
         }
         release
     }
 
-    /// Probes that wait, over all endpoints.
-    pub fn waiting(&self) -> usize {
-        self.slots.values().map(|slot| slot.waiting.len()).sum()
+    /// The number of queued probes, over all endpoints.
+    pub fn queued(&self) -> usize {
+        self.queues.values().map(|queue| queue.waiting.len()).sum()
     }
 }
--- a/crates/hollyhook_core/src/retry/resume_gate.rs
+++ b/crates/hollyhook_core/src/retry/resume_gate.rs
@@ -1,18 +1,19 @@
 use std::collections::BTreeSet;
 
-/// A place in the order of resumes: the lower urgency number goes first, then the earlier ticket.
+/// A resume's position in the queue: ordered by urgency, the lowest number first, then by age.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ResumeTicket {
-    /// 0 is the most urgent class.
+    /// The urgency of the request class; 0 is the most urgent.
     pub urgency: u8,
-    /// Counts the tickets of this gate.
+    /// The sequence number of the ticket at its gate.
     pub number: u64,
 }
 
-/// Bounds how many resumes are being opened at a time, the most urgent first.
+/// Limits how many resumes are being opened at a time, and admits the most urgent first.
 ///
-/// A resume costs its endpoint a prefill of the whole prompt and output so far. When a zone goes, every stream of it
-/// asks at once; the gate spreads that over the survivors instead of stalling the streams that they already carry.
+/// A resume costs its endpoint a prefill of the whole prompt and of the output so far. When a zone fails, all its
+/// streams resume at the same time; the gate spreads these prefills over time, so that they don't stall the streams
+/// that the remaining endpoints already serve.
 #[derive(Debug)]
 pub struct ResumeGate {
     limit: usize,
@@ -22,17 +23,17 @@
 }
 
 impl ResumeGate {
-    /// A gate that lets `limit` resumes open at a time.
+    /// Creates a gate that admits `limit` resumes at a time.
     pub fn new(limit: usize) -> Self {
         Self { limit, open: BTreeSet::new(), waiting: BTreeSet::new(), last_number: 0 }
     }
 
-    /// Another limit, as the fleet grows or shrinks.
+    /// Changes the limit, as the fleet grows or shrinks; takes effect at the next `enter` or `leave`.
     pub fn resize(&mut self, limit: usize) {
         self.limit = limit;
     }
 
-    /// Asks for a place; the ticket may be open at once, see [`is_open`](Self::is_open).
+    /// Queues a resume and returns its ticket, which may be admitted at once: see [`is_open`](Self::is_open).
     pub fn enter(&mut self, urgency: u8) -> ResumeTicket {
         self.last_number += 1;
         let ticket = ResumeTicket { urgency, number: self.last_number };
@@ -41,24 +42,24 @@
         ticket
     }
 
-    /// Whether the holder may open its resume now.
+    /// Whether the ticket's resume is admitted.
     pub fn is_open(&self, ticket: ResumeTicket) -> bool {
         self.open.contains(&ticket)
     }
 
-    /// Gives the place back, whether it was open or still waiting; returns the tickets that open by it.
+    /// Removes a ticket, admitted or still queued, and returns the tickets that are admitted in its place.
     pub fn leave(&mut self, ticket: ResumeTicket) -> Vec<ResumeTicket> {
         self.waiting.remove(&ticket);
         self.open.remove(&ticket);
         self.admit()
     }
 
-    /// Resumes that wait.
+    /// The number of queued resumes.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Resumes that are being opened.
+    /// The number of admitted resumes.
     pub fn open(&self) -> usize {
         self.open.len()
     }
--- a/crates/hollyhook_core/src/retry/retry_budget.rs
+++ b/crates/hollyhook_core/src/retry/retry_budget.rs
@@ -1,6 +1,7 @@
-/// Lets retries be at most a share of first tries, so that a failure can't feed itself.
+/// Limits retries to a share of first attempts, so that a failure can't amplify itself through retries.
 ///
-/// Each first try earns a share of a retry; each retry costs one; the balance is bounded on both sides.
+/// Each first attempt adds `share` to the balance and each retry subtracts one; the balance stays between zero and
+/// `reserve`.
 ///
 /// ```
 /// use hollyhook_core::RetryBudget;
@@ -20,17 +21,17 @@
 }
 
 impl RetryBudget {
-    /// A budget of `share` retries a first try, starting with and saving up to `reserve` retries.
+    /// Creates a budget of `share` retries per first attempt, with an initial and maximum balance of `reserve` retries.
     pub fn new(share: f64, reserve: f64) -> Self {
         Self { share, reserve, balance: reserve, refused: 0 }
     }
 
-    /// Counts a first try.
+    /// Counts a first attempt.
     pub fn earn(&mut self) {
         self.balance = (self.balance + self.share).min(self.reserve);
     }
 
-    /// Whether a retry may be made; if so, it is paid for.
+    /// Whether a retry may be made; if so, the retry is deducted from the balance.
     pub fn try_spend(&mut self) -> bool {
         if self.balance < 1.0 - f64::EPSILON * 8.0 {
             self.refused += 1;
@@ -40,7 +41,7 @@
         true
     }
 
-    /// Retries that were refused.
+    /// The number of retries that were refused.
     pub fn refused(&self) -> u64 {
         self.refused
     }
--- a/crates/hollyhook_core/src/retry/retry_window.rs
+++ b/crates/hollyhook_core/src/retry/retry_window.rs
@@ -3,14 +3,14 @@
 
 use crate::TimePoint;
 
-/// The parts that a window is kept in; a part is forgotten as a whole.
-const PARTS: u32 = 20;
+/// Buckets that a window is divided into; a bucket expires as a whole.
+const BUCKETS: u32 = 20;
 
-/// Limits the sends beyond the first of each request to one service, over a sliding window of time.
+/// Limits the retries to one service over a sliding window of time: all sends of a request beyond the first.
 ///
-/// The limit is that of the service over all hosts: a share of the requests for it, and some more. Each host spends
-/// its share by its own requests, so that the sum holds whatever the number of hosts; the few it may send without any
-/// request of its own are a constant that all hosts together stay under.
+/// The limit holds for the service over all hosts: a share of its requests plus a fixed allowance. Each host applies
+/// the share to its own requests, so that the sum holds for any number of hosts; `reserve` is the host's part of the
+/// fixed allowance, which it may spend without requests of its own.
 ///
 /// ```
 /// use hollyhook_core::{RetryWindow, TimePoint};
@@ -26,52 +26,52 @@
 /// ```
 #[derive(Debug)]
 pub struct RetryWindow {
-    part: Duration,
+    bucket_span: Duration,
     share: f64,
     reserve: u32,
-    parts: VecDeque<WindowPart>,
+    buckets: VecDeque<RetryBucket>,
 }
 
 #[derive(Debug)]
-struct WindowPart {
+struct RetryBucket {
     number: u64,
     requests: u32,
     retries: u32,
 }
 
 impl RetryWindow {
-    /// A limit of `share` retries a request and `reserve` more, in any `window`.
+    /// Creates a limit of `share` retries per request, plus `reserve` retries, in any `window`.
     pub fn new(window: Duration, share: f64, reserve: u32) -> Self {
-        Self { part: window / PARTS, share, reserve, parts: VecDeque::new() }
+        Self { bucket_span: window / BUCKETS, share, reserve, buckets: VecDeque::new() }
     }
 
-    /// Counts a request's first send.
+    /// Counts the first send of a request.
     pub fn earn(&mut self, now: TimePoint) {
         self.current(now).requests += 1;
     }
 
-    /// Whether one more send may be made; if so, it is counted.
+    /// Whether a request may be sent once more; if so, the retry is counted.
     pub fn try_spend(&mut self, now: TimePoint) -> bool {
         self.current(now);
-        let requests: u32 = self.parts.iter().map(|part| part.requests).sum();
-        let retries: u32 = self.parts.iter().map(|part| part.retries).sum();
-        let most = f64::from(requests) * self.share + f64::from(self.reserve);
-        if f64::from(retries + 1) > most {
+        let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
+        let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
+        let limit = f64::from(requests) * self.share + f64::from(self.reserve);
+        if f64::from(retries + 1) > limit {
             return false;
         }
         self.current(now).retries += 1;
         true
     }
 
-    fn current(&mut self, now: TimePoint) -> &mut WindowPart {
-        let number = now.as_micros() / (self.part.as_micros() as u64).max(1);
-        // One part more than the window, since the oldest is only partly within it.
-        while self.parts.front().is_some_and(|part| part.number + u64::from(PARTS) < number) {
-            self.parts.pop_front();
+    fn current(&mut self, now: TimePoint) -> &mut RetryBucket {
+        let number = now.as_micros() / (self.bucket_span.as_micros() as u64).max(1);
+        // Keep one bucket more than the window has, since the oldest is only partly within the window.
+        while self.buckets.front().is_some_and(|bucket| bucket.number + u64::from(BUCKETS) < number) {
+            self.buckets.pop_front();
         }
-        if self.parts.back().is_none_or(|part| part.number < number) {
-            self.parts.push_back(WindowPart { number, requests: 0, retries: 0 });
+        if self.buckets.back().is_none_or(|bucket| bucket.number < number) {
+            self.buckets.push_back(RetryBucket { number, requests: 0, retries: 0 });
         }
-        self.parts.back_mut().expect("a part was just pushed")
+        self.buckets.back_mut().expect("the current bucket was just pushed")
     }
 }
--- a/crates/hollyhook_core/tests/fuzz/gate_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/gate_fuzz.rs
@@ -70,7 +70,7 @@
                 let waits = waiting.values().any(|waits| waits == endpoint);
                 assert!(!waits || *running == LIMIT, "someone waits at a free place");
             }
-            assert_eq!(gate.waiting(), waiting.len());
+            assert_eq!(gate.queued(), waiting.len());
         }
     });
 }
