--- a/crates/hollyhook_core/src/retry/resume_gate.rs
+++ b/crates/hollyhook_core/src/retry/resume_gate.rs
@@ -17,15 +17,15 @@
 #[derive(Debug)]
 pub struct ResumeGate {
     limit: usize,
-    open: BTreeSet<ResumeTicket>,
-    waiting: BTreeSet<ResumeTicket>,
+    admitted: BTreeSet<ResumeTicket>,
+    queued: BTreeSet<ResumeTicket>,
     last_number: u64,
 }
 
 impl ResumeGate {
     /// Creates a gate that admits `limit` resumes at a time.
     pub fn new(limit: usize) -> Self {
-        Self { limit, open: BTreeSet::new(), waiting: BTreeSet::new(), last_number: 0 }
+        Self { limit, admitted: BTreeSet::new(), queued: BTreeSet::new(), last_number: 0 }
     }
 
     /// Changes the limit, as the fleet grows or shrinks; takes effect at the next `enter` or `leave`.
@@ -33,44 +33,44 @@
         self.limit = limit;
     }
 
-    /// Queues a resume and returns its ticket, which may be admitted at once: see [`is_open`](Self::is_open).
+    /// Queues a resume and returns its ticket, which may be admitted at once: see [`is_admitted`](Self::is_admitted).
     pub fn enter(&mut self, urgency: u8) -> ResumeTicket {
         self.last_number += 1;
         let ticket = ResumeTicket { urgency, number: self.last_number };
-        self.waiting.insert(ticket);
+        self.queued.insert(ticket);
         self.admit();
         ticket
     }
 
     /// Whether the ticket's resume is admitted.
-    pub fn is_open(&self, ticket: ResumeTicket) -> bool {
-        self.open.contains(&ticket)
+    pub fn is_admitted(&self, ticket: ResumeTicket) -> bool {
+        self.admitted.contains(&ticket)
     }
 
     /// Removes a ticket, admitted or still queued, and returns the tickets that are admitted in its place.
     pub fn leave(&mut self, ticket: ResumeTicket) -> Vec<ResumeTicket> {
-        self.waiting.remove(&ticket);
-        self.open.remove(&ticket);
+        self.queued.remove(&ticket);
+        self.admitted.remove(&ticket);
         self.admit()
     }
 
     /// The number of queued resumes.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    pub fn queued(&self) -> usize {
+        self.queued.len()
     }
 
     /// The number of admitted resumes.
-    pub fn open(&self) -> usize {
-        self.open.len()
+    pub fn admitted(&self) -> usize {
+        self.admitted.len()
     }
 
     fn admit(&mut self) -> Vec<ResumeTicket> {
         let mut admitted = Vec::new();
-        while self.open.len() < self.limit {
-            let Some(ticket) = self.waiting.pop_first() else {
+        while self.admitted.len() < self.limit {
+            let Some(ticket) = self.queued.pop_first() else {
                 break;
             };
-            self.open.insert(ticket);
+            self.admitted.insert(ticket);
             admitted.push(ticket);
         }
         admitted
--- a/crates/hollyhook_core/tests/fuzz/gate_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/gate_fuzz.rs
@@ -20,13 +20,13 @@
                 let ticket = inside.remove(pick % inside.len());
                 gate.leave(ticket);
             }
-            let open: BTreeSet<_> = inside.iter().filter(|ticket| gate.is_open(**ticket)).collect();
+            let open: BTreeSet<_> = inside.iter().filter(|ticket| gate.is_admitted(**ticket)).collect();
             assert_eq!(open.len(), inside.len().min(LIMIT), "places are left empty or overfull");
-            assert_eq!((gate.open(), gate.waiting()), (open.len(), inside.len() - open.len()));
+            assert_eq!((gate.admitted(), gate.queued()), (open.len(), inside.len() - open.len()));
         }
         // What waits is let in by urgency, then by time.
         let mut order = Vec::new();
-        while let Some(place) = inside.iter().position(|ticket| gate.is_open(*ticket)) {
+        while let Some(place) = inside.iter().position(|ticket| gate.is_admitted(*ticket)) {
             order.extend(gate.leave(inside.remove(place)));
         }
         let mut sorted = order.clone();
--- a/crates/hollyhook_daemon/src/fleet/resume_service.rs
+++ b/crates/hollyhook_daemon/src/fleet/resume_service.rs
@@ -31,7 +31,7 @@
             let mut state = self.lock();
             let ticket = state.gate.enter(urgency);
             let pass = ResumePass { service: self.clone(), ticket };
-            if state.gate.is_open(ticket) {
+            if state.gate.is_admitted(ticket) {
                 (pass, None)
             } else {
                 let (sender, receiver) = async_channel::bounded::<()>(1);
