--- a/crates/hollyhook_core/src/error/answer_table.rs
+++ b/crates/hollyhook_core/src/error/answer_table.rs
@@ -5,7 +5,7 @@
 const RATE: &str = "rate_limit_error";
 const SERVER: &str = "server_error";
 
-/// What a caller is told for one kind of error.
+/// The answer that callers get for one kind of error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
     /// The HTTP status.
@@ -14,9 +14,9 @@
     pub class: &'static str,
     /// The `code` of the API's error object.
     pub code: &'static str,
-    /// How far the request got, unless the error itself knows better.
+    /// How far the request got, unless the error itself states it: see [`Error::run`](super::Error::run).
     pub run: RunState,
-    /// Whether the answer says when to come back.
+    /// Whether the answer says after which time to try again.
     pub has_retry_after: bool,
 }
 
@@ -24,13 +24,13 @@
     Answer { status, class, code, run, has_retry_after }
 }
 
-/// The answer for each kind of error.
+/// Maps a kind of error to its answer.
 ///
 /// ```
 /// use hollyhook_core::{ErrorKind, answer_for};
 ///
 /// assert_eq!(answer_for(ErrorKind::UnknownModel).status, 404);
-/// assert!(answer_for(ErrorKind::Overloaded).has_retry);
+/// assert!(answer_for(ErrorKind::Overloaded).has_retry_after);
 /// ```
 pub const fn answer_for(kind: ErrorKind) -> Answer {
     use RunState::{NotRun, Partial, Unknown};
--- a/crates/hollyhook_core/src/error/error_kind.rs
+++ b/crates/hollyhook_core/src/error/error_kind.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What went wrong, from a closed list.
+/// The kind of an error, from a closed list.
 ///
-/// The table in [`answer_for`](crate::answer_for) gives the answer that a caller gets for each.
+/// [`answer_for`](crate::answer_for) maps each kind to the answer that callers get.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[non_exhaustive]
 #[serde(rename_all = "snake_case")]
@@ -15,7 +15,7 @@
     HeadTooLarge,
     /// The body of the request is larger than the limit.
     BodyTooLarge,
-    /// The request did not arrive whole within the time allowed.
+    /// The request did not arrive completely within the allowed time.
     RequestTimeout,
     /// The body is not JSON.
     InvalidJson,
@@ -23,56 +23,56 @@
     InvalidRequest,
     /// The prompt and the requested output do not fit into the model's context.
     ContextTooLong,
-    /// No API key came with the request.
+    /// The request carries no API key.
     MissingKey,
     /// The API key is not known.
     UnknownKey,
-    /// No such path.
+    /// The path does not exist.
     UnknownPath,
-    /// The path does not take that method.
+    /// The path does not support the method.
     WrongMethod,
-    /// No such model.
+    /// The model does not exist.
     UnknownModel,
-    /// The cursor in `Last-Event-ID` is forged, altered, foreign or of another request.
+    /// The cursor in `Last-Event-ID` is forged or altered, was not issued here, or belongs to another request.
     CursorInvalid,
     /// The cursor is genuine but too old to continue from.
     CursorStale,
-    /// The idempotency key came earlier with a different request.
+    /// The idempotency key was used before with a different request.
     KeyReused,
-    /// The same idempotency key is being worked on through another connection.
+    /// A request with the same idempotency key is in progress on another connection.
     KeyInProgress,
-    /// A newer connection has taken the generation over.
+    /// A newer connection has taken over the generation.
     Superseded,
     /// No endpoint can take the request now.
     NoEndpoint,
     /// The request would not be served in time.
     Overloaded,
-    /// The host is stopping and takes no new request.
+    /// The host is shutting down and accepts no new requests.
     Draining,
-    /// The platform is needed for this request and does not answer.
+    /// The request needs the platform, which does not answer.
     PlatformDown,
     /// The call was not sent to any endpoint.
     NotRun,
-    /// Endpoints that began to run the same request ended; it was not sent to another.
+    /// Endpoints crashed while running the same request, so that it was not sent to another endpoint.
     Quarantined,
-    /// The call was sent and its outcome is not known; it is never sent again.
+    /// The call was sent and its outcome is unknown; it is not sent again.
     OutcomeUnknown,
-    /// The generation was cut and no endpoint could continue it.
+    /// The generation was interrupted and no endpoint could continue it.
     GenerationLost,
-    /// A continuation would not match the tokens that were delivered.
+    /// A continuation of the generation would not match the tokens already delivered.
     GenerationDiverged,
-    /// The endpoint refused the request as invalid.
+    /// The endpoint rejected the request as invalid.
     EndpointRefused,
     /// A setting is wrong.
     InvalidSetting,
-    /// The configuration was changed by someone else meanwhile.
+    /// The configuration was changed concurrently by another writer.
     Conflict,
-    /// A fault of hollyhook itself.
+    /// An internal fault of hollyhook.
     Internal,
 }
 
 impl ErrorKind {
-    /// Every kind, for tables and documentation.
+    /// All kinds, for tables and documentation.
     pub const ALL: [Self; 30] = [
         Self::MalformedHead,
         Self::HeadTooLarge,
@@ -106,7 +106,7 @@
         Self::Internal,
     ];
 
-    /// Whether its answer says when to come back.
+    /// Whether the answer to this kind says after which time to try again.
     pub const fn has_retry_after(self) -> bool {
         crate::answer_for(self).has_retry_after
     }
@@ -122,10 +122,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// No byte of it was sent to an endpoint.
+    /// No byte of the request was sent to an endpoint.
     NotRun,
-    /// It ran in part; what was delivered stands.
+    /// The request ran in part; the output delivered so far remains valid.
     Partial,
-    /// It may or may not have run.
+    /// The request may or may not have run.
     Unknown,
 }
--- a/crates/hollyhook_core/src/error/failure.rs
+++ b/crates/hollyhook_core/src/error/failure.rs
@@ -4,7 +4,7 @@
 use super::{Answer, ErrorKind, RunState, answer_for};
 use crate::Name;
 
-/// An error: its kind, what a person should know, and where it was.
+/// An error: its kind, a message for people, and the field, header or setting that caused it.
 ///
 /// ```
 /// use hollyhook_core::{Error, ErrorKind};
@@ -23,48 +23,48 @@
 }
 
 impl Error {
-    /// An error of `kind`; `message` says what was wrong and what would be right.
+    /// Creates an error of `kind`; `message` says what was wrong and what would be right.
     pub fn new(kind: ErrorKind, message: impl Into<Name>) -> Self {
         Self { kind, message: message.into(), param: None, retry_after: None, run: answer_for(kind).run }
     }
 
-    /// The same error with the name of the field, header or setting that it is about.
+    /// Adds the name of the field, header or setting that caused the error.
     #[must_use]
     pub fn param(mut self, param: impl Into<Name>) -> Self {
         self.param = Some(param.into());
         self
     }
 
-    /// The same error with the time after which a new try makes sense.
+    /// Adds the time after which a retry makes sense.
     #[must_use]
     pub fn retry_after(mut self, span: Duration) -> Self {
         self.retry_after = Some(span);
         self
     }
 
-    /// The same error with how far the request got, where that differs from the table.
+    /// Sets how far the request got, where that differs from the [`Answer`] to the kind.
     #[must_use]
     pub fn run(mut self, run: RunState) -> Self {
         self.run = run;
         self
     }
 
-    /// The kind.
+    /// The kind of the error.
     pub fn kind(&self) -> ErrorKind {
         self.kind
     }
 
-    /// What a person should know.
+    /// The message for people.
     pub fn message(&self) -> &str {
         &self.message
     }
 
-    /// The field, header or setting that it is about.
+    /// The field, header or setting that caused the error.
     pub fn get_param(&self) -> Option<&str> {
         self.param.as_deref()
     }
 
-    /// The time after which a new try makes sense.
+    /// The time after which a retry makes sense.
     pub fn get_retry_after(&self) -> Option<Duration> {
         self.retry_after
     }
@@ -74,7 +74,7 @@
         self.run
     }
 
-    /// The row of the answer table for this kind.
+    /// The answer to this kind of error.
     pub fn answer(&self) -> Answer {
         answer_for(self.kind)
     }
--- a/crates/hollyhook_core/src/error/mod.rs
+++ b/crates/hollyhook_core/src/error/mod.rs
@@ -1,4 +1,4 @@
-//! The closed list of error kinds, the error that carries one, and the table from kind to answer.
+//! The closed list of error kinds, the error type that carries one, and the table that maps each kind to its answer.
 
 mod answer_table;
 mod error_kind;
@@ -8,5 +8,5 @@
 pub use error_kind::{ErrorKind, RunState};
 pub use failure::Error;
 
-/// A result whose error is hollyhook's own.
+/// A result with hollyhook's [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/hollyhook_core/src/rollout/mod.rs
+++ b/crates/hollyhook_core/src/rollout/mod.rs
@@ -1,4 +1,4 @@
-//! Moving a service to another version: who gets it while it is on trial, and how it is judged.
+//! Roll-outs of another version of a service: which requests get the version during its trial, and how it is judged.
 
 mod rollout_order;
 mod rollout_plan;
--- a/crates/hollyhook_core/src/rollout/rollout_order.rs
+++ b/crates/hollyhook_core/src/rollout/rollout_order.rs
@@ -2,37 +2,37 @@
 
 use crate::Name;
 
-/// The operator's order to move a service to endpoints of another version.
+/// An operator's order to move a service to endpoints of another version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutOrder {
-    /// The service.
+    /// The service to move.
     pub service: Name,
-    /// The version that its endpoints are to have.
+    /// The version to move the service to.
     pub target: Name,
-    /// How long after the order it has to be decided.
+    /// How long after the order the roll-out is to be decided.
     pub duration: Duration,
 }
 
-/// How far a roll-out is. It only goes forward.
+/// The state of a roll-out, which only moves forward.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RolloutState {
-    /// The target gets a small share of the requests.
+    /// A small share of the requests goes to the target.
     Trial,
-    /// The target gets all new requests; what runs at endpoints of other versions ends there.
+    /// All new requests go to the target; requests that already run at endpoints of other versions finish there.
     Moving,
-    /// The target has been taken over; endpoints of other versions stop.
+    /// The target has replaced the other versions, whose endpoints stop.
     Completed,
-    /// The target gets nothing.
+    /// No request goes to the target.
     RolledBack,
 }
 
 impl RolloutState {
-    /// Whether it is decided.
+    /// Whether the roll-out has been decided.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack)
     }
 
-    /// A short name for logs and metrics.
+    /// The name of the state in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Trial => "trial",
--- a/crates/hollyhook_core/src/rollout/rollout_plan.rs
+++ b/crates/hollyhook_core/src/rollout/rollout_plan.rs
@@ -3,55 +3,58 @@
 use super::{RolloutState, VersionVerdict};
 use crate::TimePoint;
 
-/// What is left until the deadline when a good version is moved to. Should it turn bad after all, everything that it got by the
-/// deadline counts, so that this is short; plain calls that run elsewhere end within it.
+/// How long before the deadline a good version gets all requests. Short, since all requests that the version has got by
+/// the deadline count against its share if it turns bad after all; long enough for plain calls at other versions to
+/// end.
 const MOVING_LEAD: Duration = Duration::from_millis(700);
-/// How long it is moved to before it is completed: hosts hear of it within a tenth of a second, and plain calls end.
+/// How long the roll-out stays in `Moving` before it is completed: hosts learn of the state within a tenth of a second,
+/// and plain calls at other versions end.
 const MOVING_TIME: Duration = Duration::from_millis(400);
 
-/// How long after it was completed endpoints of other versions may still be registered. What comes later is of a newer version.
-const OLD_GONE_AFTER: Duration = Duration::from_secs(10);
+/// How long after completion endpoints of older versions may still be registered. Endpoints of another version that
+/// register later are of a newer one.
+const OLD_VERSION_GRACE: Duration = Duration::from_secs(10);
 
-/// Which of a service's requests the target of a roll-out gets.
+/// Which of a service's requests may go to the target of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetShare {
-    /// None.
+    /// No request.
     None,
-    /// A small share.
+    /// A small share of the requests.
     Trial,
-    /// All of them.
+    /// All requests.
     All,
-    /// Its part, as any other version.
+    /// Any request: the target is treated like every other version.
     Unrestricted,
 }
 
-/// What is to be written of a roll-out next.
+/// The next change of a roll-out's state in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RolloutStep {
-    /// Nothing yet.
+    /// No change yet.
     Wait,
-    /// This state.
+    /// Write this state.
     Write(RolloutState),
 }
 
-/// When a roll-out goes on, by its verdict and its deadline.
+/// Decides when a roll-out changes its state, from the verdict on its target and from its deadline.
 ///
-/// A bad version must never have got more than its share between the order and the deadline, also if it turns bad late.
-/// Therefore it stays on trial until the deadline is near, however good it looks.
+/// A bad version must not get more than its trial share between the order and the deadline, even if it turns bad late.
+/// Therefore the target stays on trial until shortly before the deadline, however good the verdict is.
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutPlan {
-    /// When the order was heard of.
+    /// When a host first read the order.
     pub ordered_at: TimePoint,
-    /// How long after it a decision is due.
+    /// How long after `ordered_at` the decision is due.
     pub duration: Duration,
-    /// What stands in the store; none if nothing was written yet.
+    /// The current state; `None` if none has been written to the store yet.
     pub state: Option<RolloutState>,
-    /// Since when this host knows that state.
+    /// When this host learned of the current state.
     pub state_since: TimePoint,
 }
 
 impl RolloutPlan {
-    /// The next step.
+    /// The change of state that is due now.
     pub fn step(&self, now: TimePoint, verdict: VersionVerdict) -> RolloutStep {
         let is_bad = matches!(verdict, VersionVerdict::Bad(_));
         match self.state {
@@ -68,13 +71,13 @@
         }
     }
 
-    /// Which of a service's requests the target gets now.
+    /// Which of the service's requests may go to the target now.
     pub fn share(&self, now: TimePoint) -> TargetShare {
         match self.state {
             None | Some(RolloutState::RolledBack) => TargetShare::None,
             Some(RolloutState::Trial) => TargetShare::Trial,
             Some(RolloutState::Moving) => TargetShare::All,
-            Some(RolloutState::Completed) if now.since(self.state_since) < OLD_GONE_AFTER => TargetShare::All,
+            Some(RolloutState::Completed) if now.since(self.state_since) < OLD_VERSION_GRACE => TargetShare::All,
             Some(RolloutState::Completed) => TargetShare::Unrestricted,
         }
     }
--- a/crates/hollyhook_core/src/rollout/version_filter.rs
+++ b/crates/hollyhook_core/src/rollout/version_filter.rs
@@ -4,51 +4,53 @@
 use crate::route::weight;
 use crate::{EndpointId, Name};
 
-/// Which versions of a service a request may go to.
+/// Restricts the versions and endpoints of a service that a request may be routed to.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct VersionFilter {
-    /// The only version, if it may go to one alone.
+    /// The only allowed version; `None` allows all versions.
     pub only: Option<Name>,
-    /// The only endpoints of it, if it may not go to all of them.
+    /// The only allowed endpoints; `None` allows all endpoints of the allowed versions.
     pub endpoints: Option<BTreeSet<EndpointId>>,
-    /// Versions that it may not go to.
+    /// Versions that are not allowed.
     pub except: BTreeSet<Name>,
 }
 
 impl VersionFilter {
-    /// Any version.
+    /// Allows all versions.
     pub fn any() -> Self {
         Self::default()
     }
 
-    /// One version alone.
+    /// Allows a single version.
     pub fn only(version: &Name) -> Self {
         Self { only: Some(Name::clone(version)), ..Self::default() }
     }
 
-    /// Any version but one.
+    /// Allows all versions but one.
     pub fn except(version: &Name) -> Self {
         Self { except: BTreeSet::from([Name::clone(version)]), ..Self::default() }
     }
 
-    /// The same rule for those endpoints alone.
+    /// Restricts the filter to a set of endpoints.
     #[must_use]
     pub fn endpoints(mut self, endpoints: BTreeSet<EndpointId>) -> Self {
         self.endpoints = Some(endpoints);
         self
     }
 
-    /// Whether an endpoint of a version may get the request.
+    /// Whether the request may be routed to an endpoint of a version.
     pub fn allows(&self, id: &EndpointId, version: &Name) -> bool {
         let is_only = self.only.as_ref().is_none_or(|only| only == version);
         let is_chosen = self.endpoints.as_ref().is_none_or(|endpoints| endpoints.contains(id));
         is_only && is_chosen && !self.except.contains(version)
     }
 
-    /// The endpoints of the target that take part in its trial, the same at all hosts that know the same ones.
+    /// Chooses the endpoints of the target that take part in its trial, the same at all hosts that know the same
+    /// endpoints.
     ///
-    /// As large a part of them as the share of requests that they get, so that each carries what an endpoint usually does and a
-    /// fault that shows under load shows; two at least, since one may be faulty by itself.
+    /// The part of the endpoints is as large as the share of the requests, so that each endpoint carries its usual load
+    /// and faults that show only under load are found. At least two take part, since one endpoint may be faulty by
+    /// itself.
     pub fn trial_endpoints(
         target: &str,
         live: impl IntoIterator<Item = EndpointId>,
@@ -56,10 +58,10 @@
     ) -> BTreeSet<EndpointId> {
         let mut live: Vec<EndpointId> = live.into_iter().collect();
         live.sort_by_cached_key(|id| Reverse(weight(target.as_bytes(), id)));
-        let part = (live.len() as f64 * share).ceil() as usize;
-        live.truncate(part.max(Self::LEAST_ENDPOINTS));
+        let count = (live.len() as f64 * share).ceil() as usize;
+        live.truncate(count.max(Self::MIN_ENDPOINTS));
         live.into_iter().collect()
     }
 
-    const LEAST_ENDPOINTS: usize = 2;
+    const MIN_ENDPOINTS: usize = 2;
 }
--- a/crates/hollyhook_core/src/rollout/version_tally.rs
+++ b/crates/hollyhook_core/src/rollout/version_tally.rs
@@ -1,36 +1,37 @@
 use std::ops::AddAssign;
 use std::time::Duration;
 
-/// Times of one kind, as the moments of their logarithms: what is several times slower is shifted there by the same amount,
-/// whatever its size.
+/// Durations of one kind, summarized by the moments of their logarithms.
+///
+/// On the logarithmic scale a slowdown by some factor is the same shift for short and for long durations.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TimeTally {
-    /// Times counted.
+    /// The number of durations.
     pub count: u32,
-    /// The sum of the logarithms of milliseconds.
+    /// The sum of the natural logarithms of the durations in milliseconds.
     pub sum: f64,
-    /// The sum of their squares.
+    /// The sum of the squares of these logarithms.
     pub squares: f64,
 }
 
 impl TimeTally {
-    /// Below it, times differ by the clock more than by the work.
-    const LEAST_MILLIS: f64 = 0.1;
+    /// Shorter durations count as this long, since they differ by the clock more than by the work.
+    const MIN_MILLIS: f64 = 0.1;
 
-    /// Counts one time.
-    pub fn record(&mut self, time: Duration) {
-        let log = (time.as_secs_f64() * 1_000.0).max(Self::LEAST_MILLIS).ln();
+    /// Counts one duration.
+    pub fn record(&mut self, duration: Duration) {
+        let log = (duration.as_secs_f64() * 1_000.0).max(Self::MIN_MILLIS).ln();
         self.count += 1;
         self.sum += log;
         self.squares += log * log;
     }
 
-    /// The mean logarithm; zero of none.
+    /// The mean of the logarithms; zero without durations.
     pub fn mean(&self) -> f64 {
         if self.count == 0 { 0.0 } else { self.sum / f64::from(self.count) }
     }
 
-    /// The variance of the logarithms; zero of fewer than two.
+    /// The sample variance of the logarithms; zero with fewer than two durations.
     pub fn variance(&self) -> f64 {
         if self.count < 2 {
             return 0.0;
@@ -48,16 +49,16 @@
     }
 }
 
-/// What endpoints of one version answered.
+/// Counts of the answers, and of their durations, of endpoints of one version.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct VersionTally {
-    /// Answers, failures among them.
+    /// Answers, including failures.
     pub answers: u32,
-    /// Answers that were failures of the endpoint's own.
+    /// Answers that failed through the endpoint's own fault.
     pub failures: u32,
-    /// From the send to the answer, or to the first event of a stream.
+    /// Durations from the send to the answer, or to the first event of a stream.
     pub first: TimeTally,
-    /// Between two events of a stream, in the mean of the stream.
+    /// Durations between two events of a stream: the mean of each stream.
     pub gap: TimeTally,
 }
 
--- a/crates/hollyhook_core/src/rollout/version_verdict.rs
+++ b/crates/hollyhook_core/src/rollout/version_verdict.rs
@@ -2,45 +2,47 @@
 
 use super::{TimeTally, TrialEvidence, VersionTally};
 
-/// Answers of the target from which on it may be taken over: of a version that fails three in ten times, all but two of these
-/// are good once in 10,000 trials.
-const ENOUGH_ANSWERS: u32 = 40;
-/// The same on each route that carries a good part of the service.
-const ENOUGH_ON_ROUTE: u32 = 5;
-/// From this part of the service's answers on a route is one of those.
-const ROUTE_PART: f64 = 0.05;
+/// Answers of the target that are needed to judge it good: a version that fails three requests in ten has at most two
+/// failures among these once in 10,000 trials.
+const MIN_ANSWERS: u32 = 40;
+/// Answers of the target that are needed on each route with a major part of the service's answers.
+const MIN_ROUTE_ANSWERS: u32 = 5;
+/// Part of the service's answers above which a route is a major one.
+const MAJOR_ROUTE_PART: f64 = 0.05;
 
-/// Chance at which what was seen is taken for a fault of the version. It is looked at some twenty times in a trial, on a few
-/// routes, for failures and two kinds of time.
-const RISK: f64 = 0.000_1;
-/// The same for what is left without the worst endpoint.
-const RISK_OF_REST: f64 = 0.05;
+/// Significance level at which a difference counts as a fault of the version. Low, since a trial is evaluated about
+/// twenty times, on a few routes, for failures and two kinds of durations.
+const SIGNIFICANCE: f64 = 0.000_1;
+/// Significance level at which the difference has to remain when any one of the target's endpoints is left out.
+const REST_SIGNIFICANCE: f64 = 0.05;
 
-/// Failures that condemn it even if all of them are one endpoint's: no user is to pay for more.
-const MOST_FAILURES: u64 = 15;
-/// How much worse than that of the other versions the target's share of failures may be: their endpoints differ.
+/// Failures of the target from which a difference counts even if it comes from one endpoint: callers should not see
+/// more.
+const MAX_FAILURES: u64 = 15;
+/// Tolerated ratio of the target's failure rate to that of the other versions, since their endpoints differ.
 const FAILURE_FACTOR: f64 = 1.25;
-/// And this much more, also where the others never fail.
+/// Failure rate that is tolerated in addition, also where the other versions never fail.
 const FAILURE_MARGIN: f64 = 0.01;
 
-/// Times of either side that are needed for a comparison.
-const LEAST_TIMES: u32 = 8;
-/// How much slower than the other versions the target may be: endpoints that have just started are.
+/// Durations that either side needs for a comparison.
+const MIN_DURATIONS: u32 = 8;
+/// Tolerated ratio of the target's durations to those of the other versions: endpoints that have just started are
+/// slower.
 const SLOW_FACTOR: f64 = 1.6;
 
-/// What speaks against a version.
+/// The way in which a version is worse than the other versions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionFault {
-    /// More of its answers are failures.
+    /// A larger share of its answers are failures.
     Failures,
-    /// Its answers, or first events, take several times as long.
+    /// Its answers, or the first events of its streams, take much longer.
     SlowAnswers,
-    /// Its streams are several times as slow.
+    /// The events of its streams follow each other much more slowly.
     SlowStreams,
 }
 
 impl VersionFault {
-    /// A short name for logs and metrics.
+    /// The name of the fault in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Failures => "failures",
@@ -50,22 +52,22 @@
     }
 }
 
-/// What is held of a version.
+/// The verdict on a version on trial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionVerdict {
-    /// Too little was seen.
+    /// Too few answers for a verdict.
     Open,
-    /// Nothing speaks against it.
+    /// Enough answers, and no fault found.
     Good,
-    /// It is worse than the others.
+    /// The version is worse than the other versions.
     Bad(VersionFault),
 }
 
-/// Judges the target of a roll-out by what all hosts saw of it and of the others beside it.
+/// Judges the target of a roll-out by comparing its answers with those of the other versions, as counted by all hosts.
 ///
-/// Taken together and route by route, since a version may fail on one alone. Only what shows at more than one endpoint, if
-/// there are more, counts: an endpoint may be faulty by itself. Connections that broke are no evidence: whole zones
-/// lose theirs at once.
+/// Compares all answers together and those of each route, since a version may fail on one route only. If the target has
+/// several endpoints, a fault has to show without any one of them too, since an endpoint may be faulty by itself; with
+/// many failures it does not have to. Broken connections are not counted as answers: a whole zone loses them at once.
 pub fn evaluate_version(evidence: &TrialEvidence) -> VersionVerdict {
     let routes = evidence.routes();
     let slices =
@@ -75,64 +77,65 @@
             return VersionVerdict::Bad(fault);
         }
     }
-    if is_enough(evidence) { VersionVerdict::Good } else { VersionVerdict::Open }
+    if has_enough_answers(evidence) { VersionVerdict::Good } else { VersionVerdict::Open }
 }
 
-fn is_enough(evidence: &TrialEvidence) -> bool {
-    if evidence.target_answers() < ENOUGH_ANSWERS {
+fn has_enough_answers(evidence: &TrialEvidence) -> bool {
+    if evidence.target_answers() < MIN_ANSWERS {
         return false;
     }
     let total: u32 = evidence.others.values().map(|tally| tally.answers).sum();
-    let large = evidence.others.iter().filter(|(_, tally)| f64::from(tally.answers) > ROUTE_PART * f64::from(total));
-    large
+    let major =
+        evidence.others.iter().filter(|(_, tally)| f64::from(tally.answers) > MAJOR_ROUTE_PART * f64::from(total));
+    major
         .map(|(name, _)| evidence.on_routes(|route| route == name))
-        .all(|slice| slice.target_answers() >= ENOUGH_ON_ROUTE)
+        .all(|slice| slice.target_answers() >= MIN_ROUTE_ANSWERS)
 }
 
-/// A way in which the target may be worse: whether it is, by the tallies of the target and of the others, at that risk.
+/// Tests whether the target's tally (first) is worse than that of the other versions (second) at a significance level.
 type Comparison = fn(&VersionTally, &VersionTally, f64) -> bool;
 
 fn find_fault(slice: &TrialEvidence) -> Option<VersionFault> {
     let others: VersionTally = slice.others.values().sum();
     let comparisons: [(VersionFault, Comparison); 3] = [
         (VersionFault::Failures, fails_more),
-        (VersionFault::SlowAnswers, |target, others, risk| is_slower(&target.first, &others.first, risk)),
-        (VersionFault::SlowStreams, |target, others, risk| is_slower(&target.gap, &others.gap, risk)),
+        (VersionFault::SlowAnswers, |target, others, level| is_slower(&target.first, &others.first, level)),
+        (VersionFault::SlowStreams, |target, others, level| is_slower(&target.gap, &others.gap, level)),
     ];
     let found = comparisons.into_iter().find(|(_, is_worse)| is_worse_throughout(slice, &others, *is_worse));
     found.map(|(fault, _)| fault)
 }
 
-/// Whether the target is worse, also without any one of its endpoints.
+/// Whether the target is worse, and remains so when any one of its endpoints is left out; see [`MAX_FAILURES`].
 fn is_worse_throughout(slice: &TrialEvidence, others: &VersionTally, is_worse: Comparison) -> bool {
     let endpoints = slice.target_by_endpoint();
     let target: VersionTally = endpoints.values().sum();
-    if !is_worse(&target, others, RISK) {
+    if !is_worse(&target, others, SIGNIFICANCE) {
         return false;
     }
-    if endpoints.len() == 1 || u64::from(target.failures) >= MOST_FAILURES {
+    if endpoints.len() == 1 || u64::from(target.failures) >= MAX_FAILURES {
         return true;
     }
     endpoints.keys().all(|left_out| {
         let rest: VersionTally = endpoints.iter().filter(|(id, _)| *id != left_out).map(|(_, tally)| tally).sum();
-        is_worse(&rest, others, RISK_OF_REST)
+        is_worse(&rest, others, REST_SIGNIFICANCE)
     })
 }
 
-fn fails_more(target: &VersionTally, others: &VersionTally, risk: f64) -> bool {
+fn fails_more(target: &VersionTally, others: &VersionTally, level: f64) -> bool {
     let Some(fewer) = u64::from(target.failures).checked_sub(1) else {
         return false;
     };
-    // Half a failure more than was seen: of few answers a share of zero says little.
-    let usual = (f64::from(others.failures) + 0.5) / (f64::from(others.answers) + 1.0);
-    let bound = (usual * FAILURE_FACTOR + FAILURE_MARGIN).min(1.0);
-    let chance = Binomial::new(bound, u64::from(target.answers)).map(|binomial| binomial.sf(fewer));
-    chance.is_ok_and(|chance| chance < risk)
+    // Adds half a failure, since among few answers a failure rate of zero says little.
+    let baseline = (f64::from(others.failures) + 0.5) / (f64::from(others.answers) + 1.0);
+    let bound = (baseline * FAILURE_FACTOR + FAILURE_MARGIN).min(1.0);
+    let p_value = Binomial::new(bound, u64::from(target.answers)).map(|binomial| binomial.sf(fewer));
+    p_value.is_ok_and(|p_value| p_value < level)
 }
 
-/// Welch's comparison of the mean logarithms, with the larger of both variances for the target's.
-fn is_slower(target: &TimeTally, others: &TimeTally, risk: f64) -> bool {
-    if target.count < LEAST_TIMES || others.count < LEAST_TIMES {
+/// Welch's t-test of the mean logarithms, with the larger of both variances as the target's.
+fn is_slower(target: &TimeTally, others: &TimeTally, level: f64) -> bool {
+    if target.count < MIN_DURATIONS || others.count < MIN_DURATIONS {
         return false;
     }
     let variance = target.variance().max(others.variance());
@@ -141,7 +144,7 @@
     if error == 0.0 {
         return excess > 0.0;
     }
-    let freedom = f64::from(target.count.min(others.count) - 1);
-    let chance = StudentsT::new(0.0, 1.0, freedom).map(|student| student.sf(excess / error));
-    chance.is_ok_and(|chance| chance < risk)
+    let degrees_of_freedom = f64::from(target.count.min(others.count) - 1);
+    let p_value = StudentsT::new(0.0, 1.0, degrees_of_freedom).map(|student| student.sf(excess / error));
+    p_value.is_ok_and(|p_value| p_value < level)
 }
