--- a/crates/hollyhook_core/tests/gateway/quarantine.rs
+++ b/crates/hollyhook_core/tests/gateway/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that end the endpoints which run them, among others that are only there.
+//! Quarantine: requests that crash endpoints are distinguished from requests that merely run there at the same time.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
     RequestDigest::new(path, Some("office"), b"")
 }
 
-/// A ledger in which endpoints ended under requests.
+/// Creates a ledger with endpoint crashes by request path.
 fn ledger(crashes: &[(&str, &[&str])]) -> CrashLedger {
     let mut ledger = CrashLedger::default();
-    note(&mut ledger, NOW, crashes);
+    record_crashes(&mut ledger, NOW, crashes);
     ledger
 }
 
-fn note(ledger: &mut CrashLedger, now: u64, crashes: &[(&str, &[&str])]) {
+fn record_crashes(ledger: &mut CrashLedger, now: u64, crashes: &[(&str, &[&str])]) {
     for (path, endpoints) in crashes {
         for endpoint in *endpoints {
             ledger.record_crash(now, digest(path), (*endpoint).into());
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn third_end_refuses() {
+fn third_crash_refuses() {
     let mut ledger = ledger(&[("/a", &["x", "y"])]);
     assert!(!is_refused(&ledger, "/a"));
     let change = ledger.record_crash(NOW, digest("/a"), "z".into());
@@ -49,8 +49,8 @@
     assert!(is_refused(&ledger, "/a") && !is_refused(&ledger, "/b"));
 }
 
-/// Endpoints that fell silent under a request, and whose next start tells that they had ended.
-fn darken(ledger: &mut CrashLedger, path: &str, endpoints: &[&str]) {
+/// Lets endpoints stop answering while running a request, and then confirms by their restart that they crashed.
+fn crash_silently(ledger: &mut CrashLedger, path: &str, endpoints: &[&str]) {
     for (number, endpoint) in endpoints.iter().enumerate() {
         let at = NOW + number as u64;
         ledger.record_unanswered(at, digest(path), (*endpoint).into());
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn break_counts_once_endpoint_is_gone() {
+fn unanswered_request_counts_once_endpoint_is_gone() {
     let mut ledger = CrashLedger::default();
     for endpoint in ["x", "y", "z"] {
         ledger.record_unanswered(NOW, digest("/a"), endpoint.into());
@@ -71,9 +71,10 @@
     assert!(is_refused(&ledger, "/a"));
 }
 
-/// Links break, and what ends a minute later ended for another reason.
+/// A request is left unanswered also when a link fails; an endpoint that crashes a minute later crashed for another
+/// reason.
 #[test]
-fn break_long_before_end_does_not_count() {
+fn unanswered_long_before_crash_does_not_count() {
     let mut ledger = CrashLedger::default();
     for endpoint in ["x", "y", "z"] {
         ledger.record_unanswered(NOW, digest("/a"), endpoint.into());
@@ -82,10 +83,11 @@
     assert!(!is_refused(&ledger, "/a"));
 }
 
-/// Nine in ten endpoints of a zone are lost at once, time after time: what ran there goes on elsewhere and is served, and only
-/// seconds later does it show that they had ended.
+/// Guards against refusing requests because zones fail: nine in ten endpoints of a zone are lost at once, several times
+/// in a row. Other endpoints serve the requests that ran there, and only seconds later are the lost endpoints known to
+/// have crashed.
 #[test]
-fn lost_zones_condemn_nobody() {
+fn lost_zones_refuse_nothing() {
     let mut ledger = CrashLedger::default();
     for zone in 0..5_u64 {
         let at = NOW + zone * 6_000;
@@ -103,9 +105,10 @@
     }
 }
 
-/// Who was given up before it showed is told to other hosts then, since each sees few ends by itself.
+/// A request given up before its endpoint's crash is confirmed is shared upon confirmation, since each host sees few
+/// crashes.
 #[test]
-fn break_given_up_is_told() {
+fn unanswered_given_up_is_shared() {
     let mut ledger = CrashLedger::default();
     ledger.record_unanswered(NOW, digest("/a"), "x".into());
     ledger.record_given_up(&digest("/a"));
@@ -115,31 +118,32 @@
 }
 
 #[test]
-fn silent_ends_join_those_seen() {
+fn confirmed_crashes_add_to_detected_ones() {
     let mut ledger = ledger(&[("/a", &["x"])]);
-    darken(&mut ledger, "/a", &["y", "z"]);
+    crash_silently(&mut ledger, "/a", &["y", "z"]);
     assert!(is_refused(&ledger, "/a"));
 }
 
-/// Two hosts that lose the same endpoint under the same request count one end.
+/// The crash of one endpoint counts once, also when the ledger learns of it twice.
 #[test]
 fn same_endpoint_counted_once() {
     let mut ledger = ledger(&[("/a", &["x", "y"])]);
-    note(&mut ledger, NOW + 5, &[("/a", &["y"])]);
+    record_crashes(&mut ledger, NOW + 5, &[("/a", &["y"])]);
     assert!(!is_refused(&ledger, "/a"));
 }
 
-/// A generation was placed three times beside the one that ended its engines, and lost three of them within 0.4 s.
+/// Guards against refusing a request that was placed three times beside a deadly one, and so lost three engines within
+/// 0.4 s.
 #[test]
-fn request_beside_it_served() {
+fn bystander_served() {
     let ledger = ledger(&[("/deadly", &["x", "y", "z", "w"]), ("/beside", &["y", "z", "w"])]);
     assert!(is_refused(&ledger, "/deadly"));
     assert!(!is_refused(&ledger, "/beside"));
 }
 
-/// As long as both lost the same endpoints, either may have ended them; the next end tells.
+/// As long as two requests lost the same endpoints, either may be the cause; the next crash decides.
 #[test]
-fn equal_ends_parted_by_next() {
+fn equal_crashes_decided_by_next() {
     let mut ledger = ledger(&[("/deadly", &["x", "y", "z"]), ("/beside", &["x", "y", "z"])]);
     assert!(is_refused(&ledger, "/deadly") && is_refused(&ledger, "/beside"));
     let change = ledger.record_crash(NOW, digest("/deadly"), "w".into());
@@ -147,26 +151,27 @@
     assert!(is_refused(&ledger, "/deadly"));
 }
 
-/// What ended under another request does not hide what ended under this one.
+/// A crash explained by one deadly request does not hide the crashes of another one.
 #[test]
-fn two_that_end_endpoints_refused() {
+fn two_deadly_requests_refused() {
     let ledger = ledger(&[("/one", &["a", "b", "c", "d"]), ("/other", &["d", "x", "y", "z"])]);
     assert!(is_refused(&ledger, "/one") && is_refused(&ledger, "/other"));
 }
 
 #[test]
-fn survival_starts_anew() {
+fn survival_resets_crashes() {
     let mut ledger = ledger(&[("/a", &["x", "y"])]);
     ledger.record_survival(NOW + 1, &digest("/a"));
-    note(&mut ledger, NOW + 2, &[("/a", &["z", "w"])]);
+    record_crashes(&mut ledger, NOW + 2, &[("/a", &["z", "w"])]);
     assert!(!is_refused(&ledger, "/a"));
-    note(&mut ledger, NOW + 3, &[("/a", &["v"])]);
+    record_crashes(&mut ledger, NOW + 3, &[("/a", &["v"])]);
     assert!(is_refused(&ledger, "/a"));
 }
 
-/// One end is most likely chance; to tell of each would be a write for every request that an endpoint takes with it.
+/// A single crash most likely hit the request by chance; sharing each would cost a write for every request that a
+/// crashed endpoint ran.
 #[test]
-fn single_end_told_when_given_up() {
+fn single_crash_shared_when_given_up() {
     let mut ledger = ledger(&[("/a", &["x"])]);
     assert_eq!(ledger.records_to_write(true), None);
     ledger.record_given_up(&digest("/a"));
@@ -174,13 +179,13 @@
 }
 
 #[test]
-fn second_end_told() {
+fn second_crash_shared() {
     assert_eq!(ledger(&[("/a", &["x", "y"])]).records_to_write(true).unwrap()[&digest("/a")].crashes.len(), 2);
 }
 
-/// Each of three hosts saw one end.
+/// Three hosts saw one crash each.
 #[test]
-fn ends_of_hosts_added() {
+fn crashes_of_hosts_added() {
     let mut ledger = ledger(&[("/a", &["x"])]);
     let record = CrashRecord { crashes: [("y".into(), NOW), ("z".into(), NOW)].into(), survived_at: 0 };
     ledger.merge_stored(NOW, [(digest("/a"), record)].into());
@@ -189,40 +194,42 @@
 }
 
 #[test]
-fn told_once_only() {
+fn stored_records_not_written_again() {
     let mut ledger = ledger(&[("/a", &["x", "y"])]);
-    let told = ledger.records_to_write(true).unwrap();
-    ledger.merge_stored(NOW, told);
+    let written = ledger.records_to_write(true).unwrap();
+    ledger.merge_stored(NOW, written);
     assert_eq!(ledger.records_to_write(true), None);
 }
 
-/// Of hundreds of hosts that hear of it only those write it again that read the store for others.
+/// A record of other hosts that the store lost is written again only by the hosts that read the store for others, not
+/// by all the hundreds that know the record.
 #[test]
-fn heard_written_again_by_readers() {
+fn lost_record_written_again_by_readers() {
     let mut ledger = CrashLedger::default();
     let record = CrashRecord { crashes: [("x".into(), NOW), ("y".into(), NOW)].into(), survived_at: 0 };
     ledger.merge_stored(NOW, [(digest("/a"), record)].into());
     ledger.merge_stored(NOW, CrashRecords::new());
     assert_eq!(ledger.records_to_write(false), None);
     assert_eq!(ledger.records_to_write(true).unwrap().len(), 1);
-    note(&mut ledger, NOW, &[("/a", &["z"])]);
+    record_crashes(&mut ledger, NOW, &[("/a", &["z"])]);
     assert_eq!(ledger.records_to_write(false).unwrap()[&digest("/a")].crashes.len(), 3);
 }
 
-/// A store that lost what was written there gets it again.
+/// Records of local crashes are written again to a store that lost them.
 #[test]
-fn older_store_written_again() {
+fn lost_record_of_own_written_again() {
     let mut ledger = ledger(&[("/a", &["x", "y", "z"])]);
-    let told = ledger.records_to_write(true).unwrap();
-    ledger.merge_stored(NOW, told.clone());
+    let written = ledger.records_to_write(true).unwrap();
+    ledger.merge_stored(NOW, written.clone());
     ledger.merge_stored(NOW, CrashRecords::new());
     assert!(is_refused(&ledger, "/a"));
-    assert_eq!(ledger.records_to_write(true), Some(told));
+    assert_eq!(ledger.records_to_write(true), Some(written));
 }
 
-/// A host that knows only its own ends can't tell yet whose fault they are; whoever did no harm is served when it comes back.
+/// A host that knows only the crashes it saw itself can't tell the cause yet, so the delay is short. A caller whose
+/// request turns out harmless is served when it tries again.
 #[test]
-fn fresh_refusal_says_soon() {
+fn recent_refusal_has_short_delay() {
     let mut ledger = ledger(&[("/beside", &["x", "y", "z"])]);
     assert_eq!(ledger.refusal(NOW, &digest("/beside")), Some(Duration::from_secs(2)));
     assert!(ledger.refusal(NOW + 2_000, &digest("/beside")).unwrap() > Duration::from_mins(59));
@@ -232,22 +239,22 @@
 }
 
 #[test]
-fn forgotten_after_an_hour() {
+fn refusal_expires_after_an_hour() {
     let mut ledger = ledger(&[("/a", &["x", "y", "z"])]);
     assert!(ledger.refusal(NOW + HOUR - 1, &digest("/a")).is_some());
     assert_eq!(ledger.refusal(NOW + HOUR, &digest("/a")), None);
-    note(&mut ledger, NOW + HOUR, &[("/a", &["w"])]);
-    assert!(ledger.refusal(NOW + HOUR, &digest("/a")).is_some(), "it still ends endpoints");
-    note(&mut ledger, NOW + 3 * HOUR, &[("/b", &["w"])]);
+    record_crashes(&mut ledger, NOW + HOUR, &[("/a", &["w"])]);
+    assert!(ledger.refusal(NOW + HOUR, &digest("/a")).is_some(), "refused again after another crash");
+    record_crashes(&mut ledger, NOW + 3 * HOUR, &[("/b", &["w"])]);
     assert_eq!(ledger.refusal(NOW + 3 * HOUR, &digest("/a")), None);
 }
 
-/// However many are suspected, those that are refused are remembered.
+/// The number of records is bounded; records of refused requests are kept over those of suspected ones.
 #[test]
-fn memory_bounded() {
+fn records_bounded() {
     let mut ledger = ledger(&[("/deadly", &["x", "y", "z"])]);
     for number in 0..1_000_u64 {
-        note(&mut ledger, NOW + number, &[(&format!("/{number}"), &["v", "w"])]);
+        record_crashes(&mut ledger, NOW + number, &[(&format!("/{number}"), &["v", "w"])]);
     }
     assert!(is_refused(&ledger, "/deadly"));
     assert!(ledger.records_to_write(true).unwrap().len() <= 128);
@@ -256,9 +263,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Hosts that hear the same in another order, or twice, believe the same.
+    /// Merging the same records in another order, or twice, gives the same record.
     #[test]
-    fn records_join_in_any_order(parts in proptest::collection::vec((0_usize..4, 0_u64..50, 0_u64..50), 1..12)) {
+    fn records_merge_in_any_order(parts in proptest::collection::vec((0_usize..4, 0_u64..50, 0_u64..50), 1..12)) {
         let names = ["v", "w", "x", "y"];
         let records: Vec<CrashRecord> = parts.iter().map(|(name, at, survived_at)| {
             CrashRecord { crashes: [(names[*name].into(), *at)].into(), survived_at: *survived_at }
--- a/crates/hollyhook_core/tests/gateway/quarantine_play.rs
+++ b/crates/hollyhook_core/tests/gateway/quarantine_play.rs
@@ -1,4 +1,5 @@
-//! Plays hosts before engines, with a request that ends each engine which begins to run it and callers who know nothing of it.
+//! Simulates hosts that route to engines, with harmless requests and one deadly request that crashes each engine which
+//! runs it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,77 +10,86 @@
 
 const HOSTS: usize = 8;
 const ENGINES: usize = 36;
-/// Times are in milliseconds.
+/// Length of a simulation step, in milliseconds, as are all times here.
 const TICK: u64 = 10;
-const PLAYED: u64 = 40_000;
-/// How long until what one host notes is known to all; the store's word comes sooner.
-const TOLD_AFTER: u64 = 1_000;
-/// How long after the third end all hosts have to act on it.
-const CONTACT_BOUND: u64 = 3_000;
-/// Sends that are allowed after that.
-const MOST_LATE_SENDS: usize = 3;
-const MOST_RUNS: u32 = 5;
-/// From when an engine begins to run the request until it ends.
-const FATAL_AFTER: u64 = 100;
-const BACK_AFTER: u64 = 1_500;
-const READING: u64 = 1_000;
-const RUNNING: u64 = 6_000;
-const SURVIVAL: u64 = 1_000;
-/// How long callers wait before they come back, at most.
-const MOST_PATIENCE: Duration = Duration::from_secs(6);
-const NEW_EACH: u64 = 110;
-const DEADLY_EACH: u64 = 900;
+const DURATION: u64 = 40_000;
+/// Delay until all hosts know a record that one host wrote; an upper bound, since the real store is faster.
+const PROPAGATION_DELAY: u64 = 1_000;
+/// How long after the third crash hosts may still send the deadly request.
+const REACTION_BOUND: u64 = 3_000;
+/// Sends of the deadly request that are allowed after the bound.
+const MAX_LATE_SENDS: usize = 3;
+/// Sends of one request, first and retries, before its host gives it up.
+const MAX_SENDS: u32 = 5;
+/// How long an engine runs the deadly request before it crashes.
+const CRASH_DELAY: u64 = 100;
+/// How long a crashed engine takes to restart.
+const RESTART_TIME: u64 = 1_500;
+/// How long an engine reads the prompt of a request.
+const PREFILL_TIME: u64 = 1_000;
+/// How long an engine generates the output of a request.
+const DECODE_TIME: u64 = 6_000;
+/// How long an attempt has to generate output until its request counts as survived.
+const SURVIVAL_TIME: u64 = 1_000;
+/// The longest delay after which callers of a refused request try again.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(6);
+/// Interval between new harmless requests.
+const ARRIVAL_INTERVAL: u64 = 110;
+/// Interval between arrivals of the deadly request.
+const DEADLY_INTERVAL: u64 = 900;
+/// The number of the deadly request.
 const DEADLY: u64 = u64::MAX;
 
-/// A client attempt, where it runs now.
+/// An attempt of a request that runs at an engine.
 struct Attempt {
     request: u64,
     host: usize,
     engine: usize,
     sent_at: u64,
-    runs: u32,
+    /// Earlier sends of the request that ended with a crash.
+    earlier_sends: u32,
 }
 
 #[derive(Default)]
 struct Engine {
-    /// Counts its starts.
-    start: u32,
-    back_at: u64,
+    /// The number of restarts, which is part of the engine's incarnation.
+    restarts: u32,
+    up_at: u64,
 }
 
-/// What became of the callers.
+/// Counts of what became of the requests, and of the crashes.
 #[derive(Default, Debug)]
 struct Outcome {
     served: usize,
     refused: usize,
     failed: usize,
-    ends: usize,
+    crashes: usize,
     late_sends: usize,
 }
 
-/// Where the requests go that an engine took with it.
+/// Where a host sends the requests that a crashed engine was running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Placing {
-    /// All to the engine that looks best just then.
+enum Placement {
+    /// All to the same engine, as if it looked best at that moment.
     Together,
-    /// Each to any engine.
+    /// Each to a random engine.
     Apart,
 }
 
-struct World {
-    placing: Placing,
+struct Simulation {
+    placement: Placement,
     rng: Pcg64Mcg,
     now: u64,
     hosts: Vec<CrashLedger>,
     engines: Vec<Engine>,
     running: Vec<Attempt>,
-    /// What hosts wrote, by when all others know it.
+    /// The store's content after each write, by the time at which all hosts know it.
     written: BTreeMap<u64, CrashRecords>,
     stored: CrashRecords,
-    third_end_at: Option<u64>,
-    /// Who was told to come back, by when.
-    returning: BTreeMap<u64, u64>,
-    returned: BTreeSet<u64>,
+    third_crash_at: Option<u64>,
+    /// Refused requests that are sent again, by time.
+    retrying: BTreeMap<u64, u64>,
+    retried: BTreeSet<u64>,
     outcome: Outcome,
 }
 
@@ -87,10 +97,10 @@
     RequestDigest::new(&format!("/{request}"), None, b"")
 }
 
-impl World {
-    fn new(seed: u64, placing: Placing) -> Self {
+impl Simulation {
+    fn new(seed: u64, placement: Placement) -> Self {
         Self {
-            placing,
+            placement,
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 0,
             hosts: (0..HOSTS).map(|_| CrashLedger::default()).collect(),
@@ -98,28 +108,28 @@
             running: Vec::new(),
             written: BTreeMap::new(),
             stored: CrashRecords::new(),
-            third_end_at: None,
-            returning: BTreeMap::new(),
-            returned: BTreeSet::new(),
+            third_crash_at: None,
+            retrying: BTreeMap::new(),
+            retried: BTreeSet::new(),
             outcome: Outcome::default(),
         }
     }
 
-    fn play(mut self) -> Outcome {
+    fn run(mut self) -> Outcome {
         let mut next_request = 0;
-        while self.now < PLAYED {
+        while self.now < DURATION {
             self.now += TICK;
-            self.tell();
-            if self.now % NEW_EACH < TICK {
+            self.propagate();
+            if self.now % ARRIVAL_INTERVAL < TICK {
                 next_request += 1;
                 self.arrive(next_request);
             }
-            if self.now > 5_000 && self.now % DEADLY_EACH < TICK {
+            if self.now > 5_000 && self.now % DEADLY_INTERVAL < TICK {
                 self.arrive(DEADLY);
             }
-            let back: Vec<u64> = self.returning.range(..=self.now).map(|(at, _)| *at).collect();
-            for at in back {
-                let request = self.returning.remove(&at).unwrap();
+            let due: Vec<u64> = self.retrying.range(..=self.now).map(|(at, _)| *at).collect();
+            for at in due {
+                let request = self.retrying.remove(&at).unwrap();
                 self.arrive(request);
             }
             self.step();
@@ -133,19 +143,19 @@
         self.send(request, host, 0, engine);
     }
 
-    /// Sends a request to an engine, if its host does not refuse it.
-    fn send(&mut self, request: u64, host: usize, runs: u32, engine: Option<usize>) {
+    /// Sends a request to an engine, unless its host refuses the request or no engine or send is left.
+    fn send(&mut self, request: u64, host: usize, earlier_sends: u32, engine: Option<usize>) {
         let is_refused = self.hosts[host].refusal(self.now, &digest(request)).is_some();
-        match engine.filter(|_| !is_refused && runs < MOST_RUNS) {
-            Some(engine) => self.running.push(Attempt { request, host, engine, sent_at: self.now, runs }),
+        match engine.filter(|_| !is_refused && earlier_sends < MAX_SENDS) {
+            Some(engine) => self.running.push(Attempt { request, host, engine, sent_at: self.now, earlier_sends }),
             None => return self.give_up(request, host, is_refused),
         }
-        let is_late = self.third_end_at.is_some_and(|at| self.now > at + CONTACT_BOUND);
+        let is_late = self.third_crash_at.is_some_and(|at| self.now > at + REACTION_BOUND);
         self.outcome.late_sends += usize::from(request == DEADLY && is_late);
     }
 
     fn pick_engine(&mut self) -> Option<usize> {
-        let up: Vec<usize> = (0..ENGINES).filter(|engine| self.engines[*engine].back_at <= self.now).collect();
+        let up: Vec<usize> = (0..ENGINES).filter(|engine| self.engines[*engine].up_at <= self.now).collect();
         (!up.is_empty()).then(|| up[self.rng.random_range(0..up.len())])
     }
 
@@ -154,18 +164,18 @@
         if request == DEADLY {
             return;
         }
-        // Callers come back once, if they are told to do so within the time that they have.
-        let back = self.hosts[host].refusal(self.now, &digest(request)).filter(|back| *back <= MOST_PATIENCE);
-        if let Some(back) = back.filter(|_| self.returned.insert(request)) {
-            self.returning.insert(self.now + back.as_millis() as u64, request);
+        // Callers try again once, if the refusal's delay is within their limit.
+        let delay = self.hosts[host].refusal(self.now, &digest(request)).filter(|delay| *delay <= MAX_RETRY_DELAY);
+        if let Some(delay) = delay.filter(|_| self.retried.insert(request)) {
+            self.retrying.insert(self.now + delay.as_millis() as u64, request);
         } else {
             self.outcome.refused += usize::from(is_refused);
             self.outcome.failed += usize::from(!is_refused);
         }
     }
 
-    /// Lets hosts write what is to be told, and all hear what was written a while ago.
-    fn tell(&mut self) {
+    /// Lets all hosts read what was written one propagation delay ago, then lets each write its records.
+    fn propagate(&mut self) {
         let due: Vec<u64> = self.written.range(..=self.now).map(|(at, _)| *at).collect();
         for at in due {
             let records = self.written.remove(&at).unwrap();
@@ -176,19 +186,20 @@
         for host in &self.hosts {
             for (digest, record) in host.records_to_write(true).unwrap_or_default() {
                 self.stored.entry(digest).or_default().merge(&record);
-                self.written.insert(self.now + TOLD_AFTER, self.stored.clone());
+                self.written.insert(self.now + PROPAGATION_DELAY, self.stored.clone());
             }
         }
     }
 
     fn step(&mut self) {
         let now = self.now;
-        let is_fatal = |attempt: &Attempt| attempt.request == DEADLY && now >= attempt.sent_at + FATAL_AFTER;
-        let fatal: Vec<usize> = self.running.iter().filter(|attempt| is_fatal(attempt)).map(|it| it.engine).collect();
+        let is_fatal = |attempt: &Attempt| attempt.request == DEADLY && now >= attempt.sent_at + CRASH_DELAY;
+        let fatal: Vec<usize> =
+            self.running.iter().filter(|attempt| is_fatal(attempt)).map(|attempt| attempt.engine).collect();
         for engine in fatal {
-            self.end_engine(engine);
+            self.crash_engine(engine);
         }
-        let done = self.running.extract_if(.., |attempt| now >= attempt.sent_at + READING + RUNNING);
+        let done = self.running.extract_if(.., |attempt| now >= attempt.sent_at + PREFILL_TIME + DECODE_TIME);
         let done: Vec<Attempt> = done.collect();
         for attempt in done {
             self.hosts[attempt.host].record_survival(now, &digest(attempt.request));
@@ -196,48 +207,48 @@
         }
     }
 
-    fn end_engine(&mut self, engine: usize) {
+    fn crash_engine(&mut self, engine: usize) {
         let lost: Vec<Attempt> = self.running.extract_if(.., |attempt| attempt.engine == engine).collect();
         if lost.is_empty() {
             return;
         }
-        let name = format!("{engine}-{}", self.engines[engine].start);
-        self.engines[engine] = Engine { start: self.engines[engine].start + 1, back_at: self.now + BACK_AFTER };
-        self.outcome.ends += 1;
-        if self.outcome.ends == 3 {
-            self.third_end_at = Some(self.now);
+        let name = format!("{engine}-{}", self.engines[engine].restarts);
+        self.engines[engine] = Engine { restarts: self.engines[engine].restarts + 1, up_at: self.now + RESTART_TIME };
+        self.outcome.crashes += 1;
+        if self.outcome.crashes == 3 {
+            self.third_crash_at = Some(self.now);
         }
         let best = self.pick_engine();
         for attempt in lost {
             let digest = digest(attempt.request);
-            if self.now < attempt.sent_at + READING + SURVIVAL {
+            if self.now < attempt.sent_at + PREFILL_TIME + SURVIVAL_TIME {
                 self.hosts[attempt.host].record_crash(self.now, digest, name.as_str().into());
             } else {
                 self.hosts[attempt.host].record_survival(self.now, &digest);
             }
-            let engine = if self.placing == Placing::Together { best } else { self.pick_engine() };
-            self.send(attempt.request, attempt.host, attempt.runs + 1, engine);
+            let engine = if self.placement == Placement::Together { best } else { self.pick_engine() };
+            self.send(attempt.request, attempt.host, attempt.earlier_sends + 1, engine);
         }
     }
 }
 
-/// Nine callers a second before 36 engines, and one request that ends each of them and comes again each second at any host.
-///
-/// It is stopped within the contact bound; nobody else is refused.
+/// Nine harmless requests a second on 36 engines, and the deadly request about once a second at a random host: hosts
+/// stop sending the deadly request within the reaction bound, and refuse no other request.
 #[test]
-fn deadly_request_stopped_others_served() {
+fn deadly_request_refused_others_served() {
     for seed in 0..40 {
-        let outcome = World::new(seed, Placing::Apart).play();
-        assert!(outcome.late_sends <= MOST_LATE_SENDS, "seed {seed}: {outcome:?}");
-        assert!(outcome.ends <= 12, "seed {seed}: {outcome:?}");
+        let outcome = Simulation::new(seed, Placement::Apart).run();
+        assert!(outcome.late_sends <= MAX_LATE_SENDS, "seed {seed}: {outcome:?}");
+        assert!(outcome.crashes <= 12, "seed {seed}: {outcome:?}");
         assert_eq!((outcome.refused, outcome.failed), (0, 0), "seed {seed}: {outcome:?}");
         assert!(outcome.served > 250, "seed {seed}: {outcome:?}");
     }
 }
 
-/// Placed together, what did no harm follows the request that ends engines, and some of it is refused with it.
+/// If the requests of a crashed engine all move to the same engine, some harmless ones follow the deadly request from
+/// crash to crash and are refused with it.
 #[test]
-fn followers_of_deadly_request_refused_with_it() {
-    let refused: usize = (0..40).map(|seed| World::new(seed, Placing::Together).play().refused).sum();
+fn harmless_requests_placed_with_deadly_one_refused() {
+    let refused: usize = (0..40).map(|seed| Simulation::new(seed, Placement::Together).run().refused).sum();
     assert!(refused > 0);
 }
--- a/crates/hollyhook_core/tests/gateway/retries.rs
+++ b/crates/hollyhook_core/tests/gateway/retries.rs
@@ -9,21 +9,24 @@
 }
 
 #[test]
-fn window_forgets() {
+fn window_expires_buckets() {
     let mut window = RetryWindow::new(Duration::from_secs(10), 1.0, 1);
     window.earn(at(0));
     assert!(window.try_spend(at(0)));
     assert!(window.try_spend(at(0)));
     assert!(!window.try_spend(at(9_000)));
-    assert!(window.try_spend(at(11_000)), "what was spent is out of the window, and so is what was earned");
+    assert!(
+        window.try_spend(at(11_000)),
+        "the retries and the request are out of the window, only the reserve is left"
+    );
     assert!(!window.try_spend(at(11_000)));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whenever a retry is granted, those of the window's length before it stay within the share of the requests of that
-    /// span and the part before it, and the reserve.
+    /// Whenever a retry is granted, the retries within one window length before it don't exceed the reserve plus the
+    /// share of the requests in that span and the bucket before it.
     #[test]
     fn window_never_exceeded(steps in proptest::collection::vec((0_u64..400, any::<bool>()), 1..300)) {
         const WINDOW: u64 = 10_000;
--- a/crates/hollyhook_core/tests/gateway/rollouts.rs
+++ b/crates/hollyhook_core/tests/gateway/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: how a version is judged by what all hosts see of it, and when it goes on.
+//! Roll-outs: the verdict on a version from the answers that all hosts counted, and when a roll-out changes its state.
 
 use std::time::Duration;
 
@@ -9,67 +9,72 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Looks in a trial of twelve seconds, two a second.
-const LOOKS: u32 = 24;
-/// Answers of the target, and of the others, between two looks; a pool of 61 requests a second.
-const TARGET_EACH: u32 = 3;
-const OTHERS_EACH: u32 = 28;
-/// The spread of times, in their logarithms.
-const SPREAD: f64 = 0.5;
+/// Evaluations in a trial of twelve seconds, two per second.
+const EVALUATIONS: u32 = 24;
+/// Answers of the target between two evaluations, out of about 61 requests per second.
+const TARGET_ANSWERS: u32 = 3;
+/// Answers of the other versions between two evaluations.
+const OTHERS_ANSWERS: u32 = 28;
+/// Standard deviation of the logarithms of the durations.
+const DEVIATION: f64 = 0.5;
 
-/// What a version does.
+/// How a version on trial differs from the other versions.
 #[derive(Clone, Copy)]
-struct Conduct {
+struct Behavior {
+    /// Additional failure rate.
     failures: f64,
+    /// Factor on all durations.
     slowness: f64,
-    /// The look from which on.
+    /// The evaluation from which the difference shows.
     from: u32,
-    /// Whether on one of the routes alone.
+    /// Whether the difference shows on one of the routes only.
     is_on_one_route: bool,
-    /// How many of the eight endpoints of the trial.
+    /// At how many of the trial's eight endpoints the difference shows.
     endpoints: u32,
 }
 
-const GOOD: Conduct = Conduct { failures: 0.0, slowness: 1.0, from: 0, is_on_one_route: false, endpoints: 8 };
+const GOOD: Behavior = Behavior { failures: 0.0, slowness: 1.0, from: 0, is_on_one_route: false, endpoints: 8 };
 
-fn time(rng: &mut Pcg32, factor: f64) -> Duration {
+/// A random duration with a log-normal distribution.
+fn duration(rng: &mut Pcg32, factor: f64) -> Duration {
     let normal: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
-    Duration::from_secs_f64(0.3 * factor * (SPREAD * normal).exp())
+    Duration::from_secs_f64(0.3 * factor * (DEVIATION * normal).exp())
 }
 
-/// Plays a trial, and says what is held of the version at its end, and after how many looks that was known.
-fn play(seed: u64, usual_failures: f64, conduct: Conduct) -> (VersionVerdict, u32) {
+/// Simulates a trial; returns the final verdict, and the number of evaluations before a bad verdict, else all of them.
+fn simulate(seed: u64, failure_rate: f64, behavior: Behavior) -> (VersionVerdict, u32) {
     let mut rng = Pcg32::seed_from_u64(seed);
     let routes: [Name; 3] = ["draft".into(), "letter".into(), "summary".into()];
     let mut evidence = TrialEvidence::default();
     let mut verdict = VersionVerdict::Open;
-    for look in 0..LOOKS {
-        for _ in 0..OTHERS_EACH {
+    for evaluation in 0..EVALUATIONS {
+        for _ in 0..OTHERS_ANSWERS {
             let route = &routes[rng.random_range(0..3)];
-            let is_failure = rng.random_bool(usual_failures);
-            let took = time(&mut rng, 1.0);
+            let is_failure = rng.random_bool(failure_rate);
+            let took = duration(&mut rng, 1.0);
             evidence.others_mut(route).record(is_failure, Some(took), None);
         }
-        for _ in 0..TARGET_EACH {
+        for _ in 0..TARGET_ANSWERS {
             let (number, endpoint) = (rng.random_range(0..3), rng.random_range(0..8));
-            let is_meant =
-                look >= conduct.from && endpoint < conduct.endpoints && (!conduct.is_on_one_route || number == 0);
-            let failures = usual_failures + if is_meant { conduct.failures } else { 0.0 };
+            let is_affected = evaluation >= behavior.from
+                && endpoint < behavior.endpoints
+                && (!behavior.is_on_one_route || number == 0);
+            let failures = failure_rate + if is_affected { behavior.failures } else { 0.0 };
             let is_failure = rng.random_bool(failures.min(1.0));
-            let took = time(&mut rng, if is_meant { conduct.slowness } else { 1.0 });
+            let took = duration(&mut rng, if is_affected { behavior.slowness } else { 1.0 });
             let endpoint: EndpointId = format!("i-{endpoint}").into();
             evidence.target_mut(&routes[number], &endpoint).record(is_failure, Some(took), None);
         }
         verdict = evaluate_version(&evidence);
         if matches!(verdict, VersionVerdict::Bad(_)) {
-            return (verdict, look);
+            return (verdict, evaluation);
         }
     }
-    (verdict, LOOKS)
+    (verdict, EVALUATIONS)
 }
 
-fn count(runs: u64, usual_failures: f64, conduct: Conduct, is_counted: impl Fn(VersionVerdict) -> bool) -> usize {
-    (0..runs).filter(|seed| is_counted(play(*seed, usual_failures, conduct).0)).count()
+fn count(runs: u64, failure_rate: f64, behavior: Behavior, is_counted: impl Fn(VersionVerdict) -> bool) -> usize {
+    (0..runs).filter(|seed| is_counted(simulate(*seed, failure_rate, behavior).0)).count()
 }
 
 fn is_bad(verdict: VersionVerdict) -> bool {
@@ -77,71 +82,71 @@
 }
 
 #[test]
-fn good_version_kept() {
+fn good_version_accepted() {
     assert!(count(1_000, 0.004, GOOD, is_bad) < 10);
     assert!(count(1_000, 0.004, GOOD, |verdict| verdict == VersionVerdict::Good) > 980);
 }
 
-/// Where the endpoints fail one in seven requests whatever their version.
+/// The endpoints of all versions fail one request in seven.
 #[test]
-fn good_version_kept_where_all_fail() {
+fn good_version_accepted_where_all_fail() {
     assert!(count(1_000, 0.14, GOOD, is_bad) < 10);
 }
 
-/// A fifth slower, as endpoints of one service differ.
+/// A version that is a fifth slower, which is within the usual difference between endpoints of one service.
 #[test]
-fn little_slower_version_kept() {
-    assert!(count(1_000, 0.004, Conduct { slowness: 1.2, ..GOOD }, is_bad) < 10);
+fn slightly_slower_version_accepted() {
+    assert!(count(1_000, 0.004, Behavior { slowness: 1.2, ..GOOD }, is_bad) < 10);
 }
 
-/// An endpoint that fails half of its requests is faulty by itself.
+/// One endpoint that fails half of its requests is a faulty endpoint, not a faulty version.
 #[test]
 fn faulty_endpoint_not_taken_for_version() {
-    assert!(count(500, 0.004, Conduct { failures: 0.5, endpoints: 1, ..GOOD }, is_bad) < 5);
+    assert!(count(500, 0.004, Behavior { failures: 0.5, endpoints: 1, ..GOOD }, is_bad) < 5);
 }
 
 #[test]
-fn failing_version_condemned() {
-    let conduct = Conduct { failures: 0.3, ..GOOD };
-    assert_eq!(count(1_000, 0.004, conduct, |verdict| verdict == VersionVerdict::Good), 0);
-    assert!(count(1_000, 0.004, conduct, is_bad) > 990);
+fn failing_version_rejected() {
+    let behavior = Behavior { failures: 0.3, ..GOOD };
+    assert_eq!(count(1_000, 0.004, behavior, |verdict| verdict == VersionVerdict::Good), 0);
+    assert!(count(1_000, 0.004, behavior, is_bad) > 990);
 }
 
-/// Before it has given 50 bad answers, by far.
+/// A failing version is found bad long before it has given 50 failed answers.
 #[test]
-fn failing_version_condemned_soon() {
-    let looks: u32 = (0..200).map(|seed| play(seed, 0.004, Conduct { failures: 0.4, ..GOOD }).1).sum();
-    assert!(looks / 200 < 8, "{looks}");
+fn failing_version_rejected_soon() {
+    let evaluations: u32 = (0..200).map(|seed| simulate(seed, 0.004, Behavior { failures: 0.4, ..GOOD }).1).sum();
+    assert!(evaluations / 200 < 8, "{evaluations}");
 }
 
 #[test]
-fn slow_version_condemned() {
-    let conduct = Conduct { slowness: 4.0, ..GOOD };
-    assert_eq!(count(1_000, 0.004, conduct, |verdict| verdict == VersionVerdict::Good), 0);
-    assert!(count(200, 0.004, conduct, |verdict| verdict == VersionVerdict::Bad(VersionFault::SlowAnswers)) > 190);
+fn slow_version_rejected() {
+    let behavior = Behavior { slowness: 4.0, ..GOOD };
+    assert_eq!(count(1_000, 0.004, behavior, |verdict| verdict == VersionVerdict::Good), 0);
+    assert!(count(200, 0.004, behavior, |verdict| verdict == VersionVerdict::Bad(VersionFault::SlowAnswers)) > 190);
 }
 
-/// A version that is good for four seconds.
+/// A version that is good for the first four seconds, then fails.
 #[test]
-fn version_that_turns_bad_condemned() {
-    let conduct = Conduct { failures: 0.5, from: 8, ..GOOD };
-    assert!(count(500, 0.004, conduct, |verdict| verdict == VersionVerdict::Good) < 2);
+fn version_that_turns_bad_rejected() {
+    let behavior = Behavior { failures: 0.5, from: 8, ..GOOD };
+    assert!(count(500, 0.004, behavior, |verdict| verdict == VersionVerdict::Good) < 2);
 }
 
 #[test]
-fn version_that_fails_on_one_route_condemned() {
-    let conduct = Conduct { failures: 0.5, is_on_one_route: true, ..GOOD };
-    assert!(count(500, 0.004, conduct, |verdict| verdict == VersionVerdict::Good) < 2);
+fn version_that_fails_on_one_route_rejected() {
+    let behavior = Behavior { failures: 0.5, is_on_one_route: true, ..GOOD };
+    assert!(count(500, 0.004, behavior, |verdict| verdict == VersionVerdict::Good) < 2);
 }
 
 #[test]
-fn nothing_seen_is_open() {
+fn no_answers_is_open() {
     assert_eq!(evaluate_version(&TrialEvidence::default()), VersionVerdict::Open);
 }
 
-/// What several hosts saw counts as if one had seen it.
+/// The answers that several hosts counted give the same verdict as if one host had counted them.
 #[test]
-fn evidence_joined() {
+fn evidence_merged() {
     let (mut whole, mut parts) = (TrialEvidence::default(), [TrialEvidence::default(), TrialEvidence::default()]);
     for number in 0..40_usize {
         let (route, endpoint): (Name, EndpointId) = ("draft".into(), format!("i-{}", number % 3).into());
@@ -176,7 +181,8 @@
     assert_eq!(step(None, 1_000, 1_010, VersionVerdict::Open), RolloutStep::Write(RolloutState::Trial));
 }
 
-/// However good it looks: it may turn bad before the deadline, and has then got more than its share.
+/// A good version stays on trial until shortly before the deadline: if it turned bad, it would have got more than its
+/// share.
 #[test]
 fn plan_waits_for_deadline() {
     let trial = Some(RolloutState::Trial);
@@ -184,9 +190,9 @@
     assert_eq!(step(trial, 1_100, 12_400, VersionVerdict::Good), RolloutStep::Write(RolloutState::Moving));
 }
 
-/// A deadline that comes closer makes nothing good.
+/// Without a verdict the roll-out stays on trial, also at and after the deadline.
 #[test]
-fn plan_not_judged_looser_at_deadline() {
+fn plan_waits_for_verdict_past_deadline() {
     let trial = Some(RolloutState::Trial);
     assert_eq!(step(trial, 1_100, 12_900, VersionVerdict::Open), RolloutStep::Wait);
     assert_eq!(step(trial, 1_100, 20_000, VersionVerdict::Open), RolloutStep::Wait);
@@ -207,15 +213,15 @@
 }
 
 #[test]
-fn plan_ends_with_decision() {
+fn plan_waits_once_final() {
     for state in [RolloutState::Completed, RolloutState::RolledBack] {
         assert_eq!(step(Some(state), 2_000, 60_000, VersionVerdict::Good), RolloutStep::Wait);
     }
 }
 
-/// All hosts that know the same endpoints choose the same few, two at least.
+/// All hosts that know the same endpoints choose the same part of them, at least two.
 #[test]
-fn trial_endpoints_few_and_alike() {
+fn trial_endpoints_same_at_all_hosts() {
     let live = |count: u32| (0..count).map(|number| EndpointId::from(format!("i-{number}")));
     assert_eq!(VersionFilter::trial_endpoints("v2", live(280), 0.08).len(), 23);
     assert_eq!(VersionFilter::trial_endpoints("v2", live(6), 0.08).len(), 2);
@@ -234,7 +240,8 @@
     assert_eq!(share(Some(RolloutState::RolledBack), 90_000), TargetShare::None);
 }
 
-/// Endpoints of the next version that come without an order, long after a roll-out, are endpoints like any other.
+/// Endpoints of a further version that register without an order, long after the roll-out, get requests like all
+/// others.
 #[test]
 fn share_long_after_completion() {
     let share = |now_ms| plan(Some(RolloutState::Completed), 20_000).share(TimePoint::from_millis(now_ms));
