--- a/crates/hollyhook_core/tests/fuzz/call_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/call_fuzz.rs
@@ -1,4 +1,5 @@
-//! Hosts that claim keys in one platform and call one service, with lost replies, outages, pauses and deaths.
+//! Fuzzes hosts that claim idempotency keys in one platform and call one service, with lost replies, time-outs, outages
+//! and host crashes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,41 +17,41 @@
 
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// A caller sends a key to a host.
+    /// A caller sends a call with a key to a host.
     Request { host: usize, key: usize },
-    /// The host's next call to the platform reaches it and the reply comes back.
+    /// The host's pending call to the platform takes effect and is answered.
     Platform(usize),
-    /// It takes effect, and the reply is lost.
+    /// The pending call takes effect, but its reply is lost.
     PlatformReplyLost(usize),
-    /// It does not reach the platform.
+    /// The pending call fails at once without reaching the platform.
     PlatformUnreachable(usize),
-    /// It times out without reaching the platform, which the host can't tell from a lost reply.
+    /// The pending call times out without reaching the platform, which the host can't distinguish from a lost reply.
     PlatformTimesOut(usize),
-    /// The host's timer fires.
+    /// The host's claim timer fires.
     Timer(usize),
-    /// A call that may be sent is sent and answered.
+    /// The next call with a granted claim is sent to the service and answered.
     Service(usize),
-    /// It runs, and the reply is lost.
+    /// The next granted call runs, but its reply is lost.
     ServiceReplyLost(usize),
-    /// It runs, and the caller's time is over before the reply.
+    /// The next granted call runs, but the caller's deadline passes before the reply.
     ServiceTooLate(usize),
-    /// The connection can't be made.
+    /// The connection for the next granted call can't be made.
     ServiceUnreachable(usize),
-    /// The host dies with all that it knows, and a new one takes its place.
-    Die(usize),
+    /// The host crashes and loses all its state; a new host takes its place.
+    Crash(usize),
 }
 
 #[derive(Debug)]
 struct Call {
     record: ClaimRecord,
     guard: CallGuard,
-    /// Set while the guard waits for the outcome of a send.
+    /// Whether the claim is granted and the call has not been sent to the service yet.
     is_sending: bool,
 }
 
 struct Host {
     shard: ClaimShard,
-    /// Calls to the platform that are under way, at most one.
+    /// The pending call to the platform, at most one.
     pending: VecDeque<ClaimAction>,
     calls: BTreeMap<Name, Call>,
 }
@@ -62,29 +63,29 @@
     }
 }
 
-/// What callers were told and what the service did, by key.
+/// How often the service executed calls with one key.
 #[derive(Debug, Default)]
-struct KeyFacts {
-    executions: u32,
-    executions_by_claim: BTreeMap<Name, u32>,
+struct KeyExecutions {
+    total: u32,
+    by_claim: BTreeMap<Name, u32>,
 }
 
-struct World {
+struct ClaimSimulation {
     hosts: Vec<Host>,
     ledger: ClaimLedger,
     version: Option<u64>,
-    facts: Vec<KeyFacts>,
+    executions: Vec<KeyExecutions>,
     claims: u64,
     tally: Tally,
 }
 
-impl World {
+impl ClaimSimulation {
     fn new(tally: Tally) -> Self {
         Self {
             hosts: (0..HOSTS).map(|_| Host::default()).collect(),
             ledger: ClaimLedger::default(),
             version: None,
-            facts: (0..KEYS).map(|_| KeyFacts::default()).collect(),
+            executions: (0..KEYS).map(|_| KeyExecutions::default()).collect(),
             claims: 0,
             tally,
         }
@@ -97,18 +98,18 @@
             Step::PlatformReplyLost(host) => self.platform(host, true, true),
             Step::PlatformTimesOut(host) => self.platform(host, false, true),
             Step::PlatformUnreachable(host) => self.platform(host, false, false),
-            Step::Timer(host) => self.feed(host, ClaimEvent::TimerFired),
+            Step::Timer(host) => self.handle(host, ClaimEvent::TimerFired),
             Step::Service(host) => self.service(host, true, Some(CallEvent::Answered)),
             Step::ServiceReplyLost(host) => self.service(host, true, Some(CallEvent::ConnectionLost)),
             Step::ServiceTooLate(host) => self.service(host, true, Some(CallEvent::DeadlinePassed)),
             Step::ServiceUnreachable(host) => self.service(host, false, None),
-            Step::Die(host) => {
+            Step::Crash(host) => {
                 self.tally.count("host dies");
                 self.hosts[host] = Host::default();
             }
         }
-        for (key, facts) in self.facts.iter().enumerate() {
-            assert!(facts.executions <= 1, "key {key} ran {} times", facts.executions);
+        for (key, executions) in self.executions.iter().enumerate() {
+            assert!(executions.total <= 1, "key {key} ran {} times", executions.total);
         }
     }
 
@@ -124,43 +125,43 @@
         let guard = CallGuard::new(false, TimePoint::from_millis(10_000));
         let call = Call { record: record.clone(), guard, is_sending: false };
         self.hosts[host].calls.insert(Name::clone(&record.claim), call);
-        self.feed(host, ClaimEvent::Submitted(ClaimCommand::Claim(record)));
+        self.handle(host, ClaimEvent::Submitted(ClaimCommand::Claim(record)));
     }
 
-    fn feed(&mut self, host: usize, event: ClaimEvent) {
+    fn handle(&mut self, host: usize, event: ClaimEvent) {
         for action in self.hosts[host].shard.on(1_000, event) {
             match action {
                 ClaimAction::Put { .. } | ClaimAction::Load => {
                     self.hosts[host].pending.push_back(action);
                     assert_eq!(self.hosts[host].pending.len(), 1, "more than one call to the platform at a time");
                 }
-                ClaimAction::Resolve { claim, verdict } => self.settle(host, &claim, &verdict),
+                ClaimAction::Resolve { claim, verdict } => self.resolve(host, &claim, &verdict),
                 ClaimAction::Refuse { claim, .. } => {
                     self.tally.count("claim refused");
-                    self.tell_not_run(host, &claim);
+                    self.answer_not_run(host, &claim);
                 }
                 ClaimAction::SetTimer { .. } => {}
             }
         }
     }
 
-    /// The caller is told "not run", which must be true, and stay true of this call.
-    fn tell_not_run(&mut self, host: usize, claim: &Name) {
-        let call = self.hosts[host].calls.remove(claim).expect("a claim is answered once");
+    /// Answers a call with "not run"; no attempt at this call may have run.
+    fn answer_not_run(&mut self, host: usize, claim: &Name) {
+        let call = self.hosts[host].calls.remove(claim).expect("a claim is resolved or refused once");
         assert!(!call.guard.was_sent());
-        assert_eq!(self.executions(&call.record), 0, "said not to have run, but it ran");
+        assert_eq!(self.executions_of(&call.record), 0, "a call reported as not run was executed");
     }
 
-    fn executions(&self, record: &ClaimRecord) -> u32 {
-        let facts = &self.facts[record.key.parse::<usize>().unwrap()];
-        facts.executions_by_claim.get(&record.claim).copied().unwrap_or_default()
+    fn executions_of(&self, record: &ClaimRecord) -> u32 {
+        let executions = &self.executions[record.key.parse::<usize>().unwrap()];
+        executions.by_claim.get(&record.claim).copied().unwrap_or_default()
     }
 
-    fn settle(&mut self, host: usize, claim: &Name, verdict: &ClaimVerdict) {
+    fn resolve(&mut self, host: usize, claim: &Name, verdict: &ClaimVerdict) {
         match verdict {
             ClaimVerdict::Own => {
                 self.tally.count("claim own");
-                let call = self.hosts[host].calls.get_mut(claim).expect("a claim is answered once");
+                let call = self.hosts[host].calls.get_mut(claim).expect("a claim is resolved or refused once");
                 let action = call.guard.on(TimePoint::ZERO, CallEvent::Started);
                 assert!(matches!(action, Some(CallAction::Assign { .. })));
                 call.guard.on(TimePoint::ZERO, CallEvent::Assigned { endpoint: EndpointId::from("s") });
@@ -168,13 +169,14 @@
             }
             ClaimVerdict::Held(held) => {
                 self.tally.count(if held.answer.is_some() { "claim answered" } else { "claim held" });
-                self.hosts[host].calls.remove(claim).expect("a claim is answered once");
+                self.hosts[host].calls.remove(claim).expect("a claim is resolved or refused once");
             }
             ClaimVerdict::Free | ClaimVerdict::Reused => panic!("{verdict:?}"),
         }
     }
 
-    /// Carries one call to the platform: whether it arrives, and whether its reply is lost.
+    /// Completes the host's pending call to the platform; without `arrives` the call has no effect, with
+    /// `is_unanswered` the host gets no reply.
     fn platform(&mut self, host: usize, arrives: bool, is_unanswered: bool) {
         let Some(action) = self.hosts[host].pending.pop_front() else {
             return;
@@ -193,7 +195,7 @@
             (false, false) if !arrives => ClaimEvent::LoadFailed,
             _ => event,
         };
-        self.feed(host, event);
+        self.handle(host, event);
     }
 
     fn store(&mut self, action: ClaimAction) -> ClaimEvent {
@@ -212,7 +214,8 @@
         }
     }
 
-    /// Carries one granted call to the service; without an outcome the connection can't be made.
+    /// Sends the next granted call to the service, which runs the call and reports `outcome`; otherwise the connection
+    /// fails.
     fn service(&mut self, host: usize, runs: bool, outcome: Option<CallEvent>) {
         let Some(call) = self.hosts[host].calls.values_mut().find(|call| call.is_sending) else {
             return;
@@ -220,19 +223,19 @@
         call.is_sending = false;
         let record = call.record.clone();
         if !runs {
-            // No other endpoint is left either.
+            // No other endpoint is left to retry at.
             call.guard.on(TimePoint::ZERO, CallEvent::ConnectFailed);
             let action = call.guard.on(TimePoint::ZERO, CallEvent::Unassigned);
             assert_eq!(action, Some(CallAction::Finish(CallOutcome::NotRun)));
             self.tally.count("call not run");
-            self.tell_not_run(host, &record.claim);
-            return self.feed(host, ClaimEvent::Submitted(ClaimCommand::Release(record)));
+            self.answer_not_run(host, &record.claim);
+            return self.handle(host, ClaimEvent::Submitted(ClaimCommand::Release(record)));
         }
         call.guard.on(TimePoint::ZERO, CallEvent::Sending);
         let action = call.guard.on(TimePoint::ZERO, outcome.unwrap());
-        let facts = &mut self.facts[record.key.parse::<usize>().unwrap()];
-        facts.executions += 1;
-        *facts.executions_by_claim.entry(Name::clone(&record.claim)).or_default() += 1;
+        let executions = &mut self.executions[record.key.parse::<usize>().unwrap()];
+        executions.total += 1;
+        *executions.by_claim.entry(Name::clone(&record.claim)).or_default() += 1;
         self.hosts[host].calls.remove(&record.claim);
         match action {
             Some(CallAction::Finish(CallOutcome::Answered)) => {
@@ -240,10 +243,10 @@
                 let mut record = record;
                 record.answer =
                     Some(hollyhook_core::ClaimAnswer { status: 200, content_type: "".into(), body: "".into() });
-                self.feed(host, ClaimEvent::Submitted(ClaimCommand::Answer(record)));
+                self.handle(host, ClaimEvent::Submitted(ClaimCommand::Answer(record)));
             }
             Some(CallAction::Finish(CallOutcome::Unknown)) => self.tally.count("call unknown"),
-            other => panic!("a call that was sent may only be answered or unknown: {other:?}"),
+            other => panic!("a call that was sent must end as answered or unknown, not {other:?}"),
         }
     }
 }
@@ -261,19 +264,19 @@
         2 => host().prop_map(Step::ServiceReplyLost),
         1 => host().prop_map(Step::ServiceTooLate),
         2 => host().prop_map(Step::ServiceUnreachable),
-        1 => host().prop_map(Step::Die),
+        1 => host().prop_map(Step::Crash),
     ];
     proptest::collection::vec(step, 1..80)
 }
 
-/// A key runs at most once over all hosts, and "not run" is never said of a call that ran.
+/// Calls with the same key run at most once over all hosts, and a call that ran is never reported as not run.
 #[test]
 fn calls_at_most_once() {
     let tally = Tally::default();
     fuzz("calls", CASES, &steps(), |steps| {
-        let mut world = World::new(tally.clone());
+        let mut simulation = ClaimSimulation::new(tally.clone());
         for step in steps {
-            world.apply(step);
+            simulation.apply(step);
         }
     });
     tally.conclude(
--- a/crates/hollyhook_core/tests/fuzz/gate_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/gate_fuzz.rs
@@ -5,38 +5,43 @@
 
 use crate::harness::fuzz;
 
-/// Never more open than the limit, nobody forgotten, and nobody passed by someone less urgent or later.
+/// The gate admits as many resumes as the limit allows, loses none, and admits queued ones by urgency, then by age.
 #[test]
 fn resume_gate_order() {
     let steps = proptest::collection::vec((0..3_u8, any::<usize>(), 0..3_u8), 1..60);
     fuzz("resume gate", 1_000, &steps, |steps| {
         const LIMIT: usize = 3;
         let mut gate = ResumeGate::new(LIMIT);
-        let mut inside: Vec<ResumeTicket> = Vec::new();
-        for (what, pick, urgency) in steps {
-            if what < 2 {
-                inside.push(gate.enter(urgency));
-            } else if !inside.is_empty() {
-                let ticket = inside.remove(pick % inside.len());
+        let mut tickets: Vec<ResumeTicket> = Vec::new();
+        for (action, pick, urgency) in steps {
+            if action < 2 {
+                tickets.push(gate.enter(urgency));
+            } else if !tickets.is_empty() {
+                let ticket = tickets.remove(pick % tickets.len());
                 gate.leave(ticket);
             }
-            let open: BTreeSet<_> = inside.iter().filter(|ticket| gate.is_admitted(**ticket)).collect();
-            assert_eq!(open.len(), inside.len().min(LIMIT), "places are left empty or overfull");
-            assert_eq!((gate.admitted(), gate.queued()), (open.len(), inside.len() - open.len()));
+            let admitted: BTreeSet<_> = tickets.iter().filter(|ticket| gate.is_admitted(**ticket)).collect();
+            assert_eq!(
+                admitted.len(),
+                tickets.len().min(LIMIT),
+                "the gate does not admit as many resumes as its limit allows"
+            );
+            assert_eq!((gate.admitted(), gate.queued()), (admitted.len(), tickets.len() - admitted.len()));
         }
-        // What waits is let in by urgency, then by time.
+        // Drains the gate: queued resumes are admitted by urgency, then by age.
         let mut order = Vec::new();
-        while let Some(place) = inside.iter().position(|ticket| gate.is_admitted(*ticket)) {
-            order.extend(gate.leave(inside.remove(place)));
+        while let Some(index) = tickets.iter().position(|ticket| gate.is_admitted(*ticket)) {
+            order.extend(gate.leave(tickets.remove(index)));
         }
         let mut sorted = order.clone();
         sorted.sort();
-        assert!(inside.is_empty());
+        assert!(tickets.is_empty());
         assert_eq!(order, sorted);
     });
 }
 
-/// Bounded for each endpoint; everyone who waits is let out or answered, exactly once.
+/// The probes to each endpoint stay within the limit, and each queued probe is released exactly once: admitted, or
+/// reported dead with its endpoint.
 #[test]
 fn probe_gate_bounded() {
     let steps = proptest::collection::vec((0..3_u8, 0..2_usize, any::<bool>()), 1..60);
@@ -45,51 +50,51 @@
         let names = [EndpointId::from("a"), EndpointId::from("b")];
         let mut gate = ProbeGate::new(LIMIT);
         let mut running = BTreeMap::from([(0, 0_usize), (1, 0)]);
-        let mut waiting: BTreeMap<u64, usize> = BTreeMap::new();
-        for (number, (what, endpoint, is_dead)) in steps.into_iter().enumerate() {
+        let mut queued: BTreeMap<u64, usize> = BTreeMap::new();
+        for (number, (action, endpoint, is_dead)) in steps.into_iter().enumerate() {
             let probe = number as u64;
-            if what < 2 {
+            if action < 2 {
                 match gate.enter(&names[endpoint], probe) {
                     ProbeAdmission::Admitted => *running.get_mut(&endpoint).unwrap() += 1,
-                    ProbeAdmission::Queued => assert_eq!(waiting.insert(probe, endpoint), None),
+                    ProbeAdmission::Queued => assert_eq!(queued.insert(probe, endpoint), None),
                 }
             } else if running[&endpoint] > 0 {
                 *running.get_mut(&endpoint).unwrap() -= 1;
                 let release = gate.leave(&names[endpoint], is_dead);
                 for probe in release.admitted {
-                    assert_eq!(waiting.remove(&probe), Some(endpoint));
+                    assert_eq!(queued.remove(&probe), Some(endpoint));
                     *running.get_mut(&endpoint).unwrap() += 1;
                 }
                 assert!(is_dead || release.found_dead.is_empty());
                 for probe in release.found_dead {
-                    assert_eq!(waiting.remove(&probe), Some(endpoint));
+                    assert_eq!(queued.remove(&probe), Some(endpoint));
                 }
             }
             for (endpoint, running) in &running {
                 assert!(*running <= LIMIT);
-                let waits = waiting.values().any(|waits| waits == endpoint);
-                assert!(!waits || *running == LIMIT, "someone waits at a free place");
+                let has_queued = queued.values().any(|queued| queued == endpoint);
+                assert!(!has_queued || *running == LIMIT, "a probe is queued although a slot is free");
             }
-            assert_eq!(gate.queued(), waiting.len());
+            assert_eq!(gate.queued(), queued.len());
         }
     });
 }
 
-/// Over any run, retries are at most the share of first tries and the reserve.
+/// After any sequence, granted retries are at most the reserve plus the share of the first attempts.
 #[test]
 fn retry_budget_bounded() {
     let steps = proptest::collection::vec(any::<bool>(), 1..200);
     fuzz("retry budget", 1_000, &steps, |steps| {
         let mut budget = RetryBudget::new(0.2, 5.0);
-        let (mut tries, mut retries) = (0.0, 0.0);
+        let (mut attempts, mut retries) = (0.0, 0.0);
         for is_retry in steps {
             if !is_retry {
-                tries += 1.0;
+                attempts += 1.0;
                 budget.earn();
             } else if budget.try_spend() {
                 retries += 1.0;
             }
-            assert!(retries <= 0.2 * tries + 5.0 + 1e-6);
+            assert!(retries <= 0.2 * attempts + 5.0 + 1e-6);
         }
     });
 }
