--- a/crates/hollyhook_core/src/call/claim_shard.rs
+++ b/crates/hollyhook_core/src/call/claim_shard.rs
@@ -60,7 +60,7 @@
     Resolve {
         /// The claim's name.
         claim: Name,
-        /// The state of the key; `Free` means that the ledger was full, so that the claim was not made.
+        /// The verdict on the claim; `Free` means that the ledger was full, so that the claim was not made.
         verdict: ClaimVerdict,
     },
     /// Report to its caller that a claim could not be made; the call must not be sent.
--- a/crates/hollyhook_core/src/error/error_kind.rs
+++ b/crates/hollyhook_core/src/error/error_kind.rs
@@ -33,7 +33,7 @@
     WrongMethod,
     /// The model does not exist.
     UnknownModel,
-    /// The cursor in `Last-Event-ID` is forged or altered, was not issued here, or belongs to another request.
+    /// The cursor in `Last-Event-ID` is forged or altered, was issued elsewhere, or belongs to another request.
     CursorInvalid,
     /// The cursor is genuine but too old to continue from.
     CursorStale,
--- a/crates/hollyhook_core/src/quarantine/crash_ledger.rs
+++ b/crates/hollyhook_core/src/quarantine/crash_ledger.rs
@@ -102,7 +102,8 @@
 
     /// Records that this host no longer retries a request, whatever the outcome, and shares the request's crashes.
     ///
-    /// Where each client attempt is sent to one endpoint only, no host sees more than one crash at a time.
+    /// A single crash is shared too: where each client attempt is sent to one endpoint only, no host sees more than one
+    /// crash at a time.
     pub fn record_given_up(&mut self, digest: &RequestDigest) {
         self.unanswered.mark_given_up(digest);
         if let Some(entry) = self.entries.get_mut(digest) {
