--- a/crates/hollyhook_core/src/call/mod.rs
+++ b/crates/hollyhook_core/src/call/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services: at most once where they may not be repeated.
+//! Calls to plain services: a call that may not be repeated is sent at most once.
 
 mod call_guard;
 mod claim_ledger;
@@ -6,4 +6,4 @@
 
 pub use call_guard::{CallAction, CallEvent, CallGuard, CallOutcome};
 pub use claim_ledger::{ClaimAnswer, ClaimLedger, ClaimRecord, ClaimVerdict};
-pub use claim_shard::{ClaimAction, ClaimEvent, ClaimOrder, ClaimPolicy, ClaimRefusal, ClaimShard};
+pub use claim_shard::{ClaimAction, ClaimCommand, ClaimEvent, ClaimPolicy, ClaimRefusal, ClaimShard};
--- a/crates/hollyhook_core/src/rollout/mod.rs
+++ b/crates/hollyhook_core/src/rollout/mod.rs
@@ -1,15 +1,15 @@
-//! Moving a service to another version: who gets it while it is on trial, and how it is judged.
+//! Roll-outs of another version of a service: which requests get the version during its trial, and how it is judged.
 
 mod rollout_order;
 mod rollout_plan;
 mod trial_evidence;
-mod version_judge;
-mod version_rule;
+mod version_filter;
 mod version_tally;
+mod version_verdict;
 
 pub use rollout_order::{RolloutOrder, RolloutState};
 pub use rollout_plan::{RolloutPlan, RolloutStep, TargetShare};
 pub use trial_evidence::TrialEvidence;
-pub use version_judge::{VersionFault, VersionVerdict, judge_version};
-pub use version_rule::VersionRule;
+pub use version_filter::VersionFilter;
 pub use version_tally::{TimeTally, VersionTally};
+pub use version_verdict::{VersionFault, VersionVerdict, evaluate_version};
--- a/crates/hollyhook_gateway/src/forward/crash_check.rs
+++ b/crates/hollyhook_gateway/src/forward/crash_check.rs
@@ -40,25 +40,25 @@
     let is_cut_off = matches!(failure, AttemptFailure::Broken | AttemptFailure::Garbled);
     let has_crashed = is_cut_off && has_crashed(context, caller, target).await;
     if !has_crashed && (is_cut_off || failure == AttemptFailure::Silent) {
-        context.quarantine.note_break(caller.digest(), &target.id);
+        context.quarantine.record_unanswered(caller.digest(), &target.id);
     }
     if has_crashed {
         context.board.count("endpoint_crashes");
         request_log::crashed(context, caller, &target.id);
-        context.quarantine.note_end(caller.digest(), &target.id);
+        context.quarantine.record_crash(caller.digest(), &target.id);
         QuarantineWriter::wake(context);
     }
 }
 
 /// Records that an endpoint ran a request without crashing.
-pub(super) fn note_survival(context: &Arc<GatewayContext>, caller: &CallerRequest) {
-    context.quarantine.note_survival(|| caller.digest());
+pub(super) fn record_survival(context: &Arc<GatewayContext>, caller: &CallerRequest) {
+    context.quarantine.record_survival(|| caller.digest());
     QuarantineWriter::wake(context);
 }
 
 /// Records that no further attempt is made for a request.
-pub(super) fn note_given_up(context: &Arc<GatewayContext>, caller: &CallerRequest) {
-    context.quarantine.note_given_up(|| caller.digest());
+pub(super) fn record_given_up(context: &Arc<GatewayContext>, caller: &CallerRequest) {
+    context.quarantine.record_given_up(|| caller.digest());
     QuarantineWriter::wake(context);
 }
 
--- a/crates/hollyhook_gateway/src/forward/engine_choice.rs
+++ b/crates/hollyhook_gateway/src/forward/engine_choice.rs
@@ -6,7 +6,7 @@
 use futures::future::join;
 use hollyhook_core::{
     EndpointId, EndpointRecord, EndpointState, EngineCandidate, HolderLimits, Name, RouteQuery, StopReason,
-    VersionRule, ZoneName, choose_backup_engine, choose_engine, excess_wait, has_holder, is_certain_choice,
+    VersionFilter, ZoneName, choose_backup_engine, choose_engine, excess_wait, has_holder, is_certain_choice,
     place_held_prompt,
 };
 use hollyhook_platform::BackupSource;
@@ -61,7 +61,7 @@
     /// Engines that earlier attempts were sent to.
     pub(super) tried: &'a [EndpointId],
     /// Versions that the attempt may be sent to.
-    pub(super) versions: &'a VersionRule,
+    pub(super) versions: &'a VersionFilter,
 }
 
 impl EngineChooser<'_> {
--- a/crates/hollyhook_gateway/src/forward/event_stream.rs
+++ b/crates/hollyhook_gateway/src/forward/event_stream.rs
@@ -18,7 +18,7 @@
 use super::attempt_end::end_attempt;
 use super::attempt_times::{AttemptTimes, record_version_outcome};
 use super::backup_replicator::BackupReplicator;
-use super::crash_check::{SURVIVAL_TIME, check_crash, note_given_up, note_survival};
+use super::crash_check::{SURVIVAL_TIME, check_crash, record_given_up, record_survival};
 use super::engine_choice::{BackupLocation, EngineChoice, EngineChooser};
 use super::live_attempt::{AttemptStart, LiveAttempt, PieceOutcome};
 use super::liveness_watch::LivenessWatch;
@@ -156,7 +156,7 @@
             record_version_outcome(&self.context, &self.caller, &live.slot.target, None, times);
             live.response.release(&self.context, live.slot.id());
         }
-        note_survival(&self.context, &self.caller);
+        record_survival(&self.context, &self.caller);
         request_log::streamed(&self.context, &self.caller, &self.timing, self.ledger.attempts() + 1);
     }
 
@@ -164,7 +164,7 @@
         self.has_ended = true;
         self.live = None;
         request_log::ended(&self.context, &self.caller, &error, self.ledger.attempts());
-        note_given_up(&self.context, &self.caller);
+        record_given_up(&self.context, &self.caller);
         error
     }
 
@@ -186,7 +186,7 @@
         self.resume_from = live.replicator.as_ref().and_then(BackupReplicator::take_location);
         drop(live);
         if has_survived {
-            note_survival(&self.context, &self.caller);
+            record_survival(&self.context, &self.caller);
         } else {
             check_crash(&self.context, &self.caller, &target, failure).await;
         }
--- a/crates/hollyhook_gateway/src/forward/plain_call.rs
+++ b/crates/hollyhook_gateway/src/forward/plain_call.rs
@@ -11,7 +11,7 @@
 use super::attempt::{BufferedResponse, EndpointSlot, send_attempt};
 use super::attempt_end::end_attempt;
 use super::attempt_times::{AttemptTimes, record_version_outcome};
-use super::crash_check::{check_crash, note_given_up, note_survival};
+use super::crash_check::{check_crash, record_given_up, record_survival};
 use super::request_log::{self, CallTrace};
 use crate::front::{CallerRequest, ResponseBody};
 use crate::gateway::{EndpointLack, GatewayContext};
@@ -46,12 +46,12 @@
             request_log::answered(context, caller, response.status().as_u16(), &run.last, attempts);
             // An endpoint may send an error response before the request can crash it: only a success proves survival.
             if response.status().is_success() {
-                note_survival(context, caller);
+                record_survival(context, caller);
             }
         }
         Err(error) => {
             request_log::ended(context, caller, error, attempts);
-            note_given_up(context, caller);
+            record_given_up(context, caller);
         }
     }
     outcome
