--- a/crates/hollyhook_gateway/src/forward/crash_check.rs
+++ b/crates/hollyhook_gateway/src/forward/crash_check.rs
@@ -46,20 +46,20 @@
         context.board.count("endpoint_crashes");
         request_log::crashed(context, caller, &target.id);
         context.quarantine.record_crash(caller.digest(), &target.id);
-        QuarantineWriter::wake(context);
+        QuarantineWriter::spawn_if_needed(context);
     }
 }
 
 /// Records that an endpoint ran a request without crashing.
 pub(super) fn record_survival(context: &Arc<GatewayContext>, caller: &CallerRequest) {
     context.quarantine.record_survival(|| caller.digest());
-    QuarantineWriter::wake(context);
+    QuarantineWriter::spawn_if_needed(context);
 }
 
 /// Records that no further attempt is made for a request.
 pub(super) fn record_given_up(context: &Arc<GatewayContext>, caller: &CallerRequest) {
     context.quarantine.record_given_up(|| caller.digest());
-    QuarantineWriter::wake(context);
+    QuarantineWriter::spawn_if_needed(context);
 }
 
 /// Returns the error for a quarantined request: one that crashed endpoints, at this host or at others.
--- a/crates/hollyhook_gateway/src/store/endpoint_watch.rs
+++ b/crates/hollyhook_gateway/src/store/endpoint_watch.rs
@@ -105,7 +105,7 @@
         self.settle_doubtful();
         self.context.quarantine.note_gone(&self.context.endpoints.take_lost());
         self.context.rollouts.note_versions();
-        QuarantineWriter::wake(&self.context);
+        QuarantineWriter::spawn_if_needed(&self.context);
         if news.is_snapshot {
             self.context.wait_for_versions().await;
             self.context.note_endpoints_listed();
--- a/crates/hollyhook_gateway/src/store/quarantine_writer.rs
+++ b/crates/hollyhook_gateway/src/store/quarantine_writer.rs
@@ -27,7 +27,7 @@
 
 impl QuarantineWriter {
     /// Begins to write if anything is to be told and nobody here writes yet.
-    pub(crate) fn wake(context: &Arc<GatewayContext>) {
+    pub(crate) fn spawn_if_needed(context: &Arc<GatewayContext>) {
         if context.quarantine.begin_writing(|| is_reader(context)) {
             task::spawn(Self { context: Arc::clone(context), client: StoreClient::new(context) }.run());
         }
@@ -52,7 +52,7 @@
         }
         self.context.quarantine.end_writing();
         // Something may have been noted since it was last looked at.
-        Self::wake(&self.context);
+        Self::spawn_if_needed(&self.context);
     }
 
     /// Reads the entry and writes what is missing there; so what became of an earlier write without an answer is seen too.
