--- a/crates/hollyhook_gateway/src/store/endpoint_watch.rs
+++ b/crates/hollyhook_gateway/src/store/endpoint_watch.rs
@@ -10,168 +10,178 @@
 use crate::gateway::GatewayContext;
 use crate::sync::lock;
 
-/// How long one watch waits at most. A longer one costs fewer calls; where that would leave a connection that went silent
-/// unnoticed for too long, it is shorter.
+/// Longest time that a watch waits for changes. A longer wait costs fewer calls; the reader shortens it where a dead
+/// connection would be detected too late.
 const WATCH_WAIT: Duration = Duration::from_secs(3);
-/// The pause after changes for each endpoint, so that many changes come with one call. The endpoints of a large site
-/// change all the time, and each watch that returns is a call; where there are few, what hosts know too late costs callers
-/// more than the call.
-const GATHER_EACH: Duration = Duration::from_millis(10);
-/// The least of that pause.
-const LEAST_GATHER: Duration = Duration::from_millis(400);
-/// That pause at a host that others tell, which costs the store nothing. Engines that crash together are back after a second
-/// or so under new names; until a host hears of them it is turned away at each.
-const TOLD_GATHER: Duration = Duration::from_millis(400);
-/// The most of that pause, as a part of the time within which a leaving endpoint has to be known.
-const MOST_GATHER: f64 = 0.4;
-
-/// Follows the endpoints that register themselves.
+/// Delay before the next watch after changes, per known endpoint, so that one call returns many changes. The endpoints
+/// of a large site change all the time, and each watch that returns is a call. With few endpoints the delay is short,
+/// because an outdated table costs callers more than the additional calls cost the store.
+const BATCH_DELAY_PER_ENDPOINT: Duration = Duration::from_millis(10);
+/// Lower bound of that delay.
+const MIN_BATCH_DELAY: Duration = Duration::from_millis(400);
+/// The delay at a follower, which calls another host and costs the store nothing. Engines that crash together return
+/// after about a second under new names; until a follower learns of them, each rejects its requests.
+const FOLLOWER_BATCH_DELAY: Duration = Duration::from_millis(400);
+/// Upper bound of that delay, as a fraction of the time within which this host must stop sending requests to a leaving
+/// endpoint.
+const MAX_BATCH_FRACTION: f64 = 0.4;
+
+/// Keeps the endpoint table up to date with the endpoints' entries in the store.
 #[derive(Debug)]
 pub(crate) struct EndpointWatch {
     context: Arc<GatewayContext>,
     reader: FeedReader,
     membership: Arc<Mutex<EndpointMembership>>,
-    /// The store's last return that was taken in.
+    /// Start of the last grace period, which began when the store answered again after an outage.
     grace_start: Option<TimePoint>,
-    /// The store's revision in the first news of its era.
-    began: StoreRevision,
-    /// Entries in the copy from which the store came back that may be of endpoints that left, or say what was before.
-    doubtful: BTreeMap<Name, StoreObject>,
-    /// Entries that could not be read, and the revision at which that was logged.
+    /// Revision of the first update of the store's current era.
+    era_start: StoreRevision,
+    /// Entries of the older copy that the store was restored from which look outdated: their endpoint has left since,
+    /// or the state that they list was superseded.
+    suspect_entries: BTreeMap<Name, StoreObject>,
+    /// Malformed entries, and the revision of each that was last logged.
     malformed: BTreeMap<Name, u64>,
 }
 
 impl EndpointWatch {
     pub(crate) fn new(context: Arc<GatewayContext>) -> Self {
-        let (of_part, mut taken) = (Arc::clone(&context), 0);
-        let reader = FeedReader::new(Arc::clone(&context), ObjectKind::Endpoint, WATCH_WAIT)
-            .part_taker(move |objects| taken += take_part(&of_part, objects.get(taken..).unwrap_or_default()));
+        let (list_context, mut applied) = (Arc::clone(&context), 0);
+        let reader =
+            FeedReader::new(Arc::clone(&context), ObjectKind::Endpoint, WATCH_WAIT).page_callback(move |objects| {
+                applied += apply_partial_list(&list_context, objects.get(applied..).unwrap_or_default())
+            });
         Self {
             context,
             reader,
             membership: Arc::default(),
             grace_start: None,
-            began: StoreRevision::default(),
-            doubtful: BTreeMap::new(),
+            era_start: StoreRevision::default(),
+            suspect_entries: BTreeMap::new(),
             malformed: BTreeMap::new(),
         }
     }
 
-    /// Follows them until the process ends.
+    /// Applies updates until the process ends.
     pub(crate) async fn run(mut self) {
         loop {
             match self.step().await {
-                Ok(true) => self.context.timer.wait(self.gather_pause()).await,
+                Ok(true) => self.context.timer.wait(self.batch_delay()).await,
                 Ok(false) | Err(StoreError::HistoryGone) => {}
-                Err(_logged) => self.reader.pause().await,
+                Err(_logged) => self.reader.wait_before_retry().await,
             }
         }
     }
 
-    fn gather_pause(&self) -> Duration {
+    /// The delay before the next request for updates after changes.
+    fn batch_delay(&self) -> Duration {
         match self.reader.plan() {
             FeedPlan::Lead => return self.context.feed_timing().leader_batch_delay(),
-            // A leader has gathered already, and others wait for what is told on.
+            // The leader has batched the changes already, and followers wait for this relay.
             FeedPlan::Relay(_) => return Duration::ZERO,
-            FeedPlan::Follow(_) => return TOLD_GATHER,
+            FeedPlan::Follow(_) => return FOLLOWER_BATCH_DELAY,
             FeedPlan::Alone => {}
         }
-        let most = self.context.drain_bound().mul_f64(MOST_GATHER);
-        let each = GATHER_EACH * self.context.endpoints.table().len() as u32;
-        each.max(LEAST_GATHER).min(most)
+        let max_delay = self.context.drain_bound().mul_f64(MAX_BATCH_FRACTION);
+        let delay = BATCH_DELAY_PER_ENDPOINT * self.context.endpoints.table().len() as u32;
+        delay.max(MIN_BATCH_DELAY).min(max_delay)
     }
 
-    /// One call; tells whether anything changed.
+    /// Reads one update and applies it; returns whether it contained changes.
     async fn step(&mut self) -> Result<bool, StoreError> {
-        let news = self.reader.next().await?;
+        let update = self.reader.next_update().await?;
         self.context.wait_for_site().await;
-        self.context.endpoints.confirm(news.confirmed_until);
-        self.note_era(&news);
-        self.note_return(&news);
-        if news.is_snapshot {
-            self.forget_missing(&news);
+        self.context.endpoints.confirm(update.confirmed_until);
+        self.record_era(&update);
+        self.record_recovery(&update);
+        if update.is_snapshot {
+            self.remove_missing(&update);
         }
-        for change in &news.changes {
+        for change in &update.changes {
             if let Some(object) = &change.object {
                 self.context.quarantine.read_entry(object);
                 self.upsert(object);
             } else {
                 self.context.quarantine.forget_entry(&change.name);
                 self.malformed.remove(&change.name);
-                self.doubtful.remove(&change.name);
-                self.miss(&change.name);
+                self.suspect_entries.remove(&change.name);
+                self.mark_missing(&change.name);
             }
         }
-        self.settle_doubtful();
+        self.accept_suspect_entries();
         self.context.quarantine.note_gone(&self.context.endpoints.take_lost());
         self.context.rollouts.note_versions();
         QuarantineWriter::spawn_if_needed(&self.context);
-        if news.is_snapshot {
+        if update.is_snapshot {
             self.context.wait_for_versions().await;
             self.context.note_endpoints_listed();
         }
-        Ok(!news.changes.is_empty())
+        Ok(!update.changes.is_empty())
     }
 
-    /// Takes in that the store came back from an older copy of itself.
-    fn note_era(&mut self, news: &FeedUpdate<StoreObject>) {
-        if news.revision.era <= self.began.era {
+    /// Records the first update of a new era; any era but the first means that the store was restored from an older
+    /// copy.
+    fn record_era(&mut self, update: &FeedUpdate<StoreObject>) {
+        if update.revision.era <= self.era_start.era {
             return;
         }
-        let is_first = self.began == StoreRevision::default();
-        self.began = news.revision;
+        let is_first = self.era_start == StoreRevision::default();
+        self.era_start = update.revision;
         if is_first {
             return;
         }
         lock(&self.membership).platform_rolled_back(self.context.timer.now());
         tracing::warn!(
-            era = news.revision.era,
-            revision = news.revision.number,
+            era = update.revision.era,
+            revision = update.revision.number,
             kind = "endpoints",
-            is_whole = news.is_snapshot,
+            is_whole = update.is_snapshot,
             "store.came_back_older"
         );
     }
 
-    /// Whether an entry says what was before the store came back from an older copy: nobody has written it since, and what this
-    /// host knows is newer.
+    /// Whether an entry is outdated: it was not written since the store was restored from an older copy, and this host
+    /// knows a newer state.
     fn is_outdated(&self, object: &StoreObject, record: &EndpointRecord) -> bool {
-        if object.revision > self.began.number {
+        if object.revision > self.era_start.number {
             return false;
         }
         let known = self.context.endpoints.table().get(&record.id).map(|known| known.state);
         lock(&self.membership).is_outdated(self.context.timer.now(), &record.entry, known, record.state)
     }
 
-    /// Believes the entries that are still there when those would have gone that nobody renews.
-    fn settle_doubtful(&mut self) {
-        if self.doubtful.is_empty() || lock(&self.membership).is_list_suspect(self.context.timer.now()) {
+    /// Applies the suspect entries that are still listed once the entries of endpoints that have left must have
+    /// expired.
+    fn accept_suspect_entries(&mut self) {
+        if self.suspect_entries.is_empty() || lock(&self.membership).is_list_suspect(self.context.timer.now()) {
             return;
         }
-        for object in std::mem::take(&mut self.doubtful).into_values() {
+        for object in std::mem::take(&mut self.suspect_entries).into_values() {
             self.upsert(&object);
         }
     }
 
-    fn note_return(&mut self, news: &FeedUpdate<StoreObject>) {
-        let Some(at) = news.grace_start.filter(|at| Some(*at) > self.grace_start) else {
+    /// Starts the grace period for missing entries if the update states a new one.
+    fn record_recovery(&mut self, update: &FeedUpdate<StoreObject>) {
+        let Some(at) = update.grace_start.filter(|at| Some(*at) > self.grace_start) else {
             return;
         };
         self.grace_start = Some(at);
         lock(&self.membership).platform_recovered(at);
-        // By itself, since the next watch may wait for longer than a leaving endpoint may still get work.
-        task::spawn(forget_when_due(Arc::clone(&self.context), Arc::clone(&self.membership), at));
+        // A separate task, because the next watch may wait for longer than requests may still be sent to an endpoint
+        // that has left.
+        task::spawn(remove_after_grace(Arc::clone(&self.context), Arc::clone(&self.membership), at));
     }
 
-    fn forget_missing(&mut self, news: &FeedUpdate<StoreObject>) {
-        let present: BTreeSet<&Name> = news.changes.iter().map(|change| &change.name).collect();
+    /// Removes all entries that a snapshot does not list.
+    fn remove_missing(&mut self, update: &FeedUpdate<StoreObject>) {
+        let present: BTreeSet<&Name> = update.changes.iter().map(|change| &change.name).collect();
         let known: BTreeSet<Name> =
             self.context.endpoints.table().iter().map(|record| Name::clone(&record.entry)).collect();
         for entry in known.iter().filter(|entry| !present.contains(*entry)) {
-            self.miss(entry);
+            self.mark_missing(entry);
         }
         self.malformed.retain(|entry, _| present.contains(entry));
-        self.doubtful.retain(|entry, _| present.contains(entry));
+        self.suspect_entries.retain(|entry, _| present.contains(entry));
         self.context.quarantine.retain_entries(|entry| present.contains(entry));
     }
 
@@ -179,17 +189,17 @@
         match hollyhook_platform::decode_endpoint(object) {
             Ok(record) if self.is_outdated(object, &record) => {
                 tracing::info!(entry = %object.name, state = ?record.state, "endpoint.outdated");
-                self.doubtful.insert(Name::clone(&object.name), object.clone());
+                self.suspect_entries.insert(Name::clone(&object.name), object.clone());
             }
             Ok(mut record) => {
                 lock(&self.membership).mark_present(&record.entry);
                 self.malformed.remove(&record.entry);
-                self.doubtful.remove(&record.entry);
-                record.registered.era = self.began.era;
+                self.suspect_entries.remove(&record.entry);
+                record.registered.era = self.era_start.era;
                 self.context.endpoints.upsert(record);
             }
             Err(error) => {
-                // Whoever wrote it, it names no endpoint that could be used.
+                // Whoever wrote the entry, it no longer describes a usable endpoint.
                 self.context.endpoints.forget_entry(&object.name, "malformed");
                 let logged = self.malformed.insert(Name::clone(&object.name), object.revision);
                 if logged != Some(object.revision) {
@@ -199,7 +209,8 @@
         }
     }
 
-    fn miss(&mut self, entry: &Name) {
+    /// Removes the endpoints of a missing entry, or keeps them during the grace period after an outage of the store.
+    fn mark_missing(&mut self, entry: &Name) {
         let is_gone = lock(&self.membership).mark_missing(self.context.timer.now(), entry);
         if is_gone {
             self.context.endpoints.forget_entry(entry, "removed");
@@ -209,12 +220,13 @@
     }
 }
 
-/// Takes in what is read of the first list before it is whole, and serves once it has an endpoint of each service.
+/// Applies objects of the first list before it is complete, and marks this host as ready once each service has a live
+/// endpoint and no version waits to be checked against the roll-out orders.
 ///
-/// Hundreds of hosts that start at once read thousands of entries over the store's one link, for seconds; callers need one
-/// endpoint, not all. What can't be read is logged when the list is whole. Returns how many objects it took in: none before the
-/// configuration is known, by whose services they are judged.
-fn take_part(context: &GatewayContext, objects: &[StoreObject]) -> usize {
+/// Hundreds of hosts that start at once read thousands of entries over the store's one link, which takes seconds;
+/// callers need one endpoint, not all. Malformed entries are logged when the list is complete. Returns the number of
+/// objects processed: zero before the configuration is known, because entries are checked against its services.
+fn apply_partial_list(context: &GatewayContext, objects: &[StoreObject]) -> usize {
     let Some(site) = context.site() else {
         return 0;
     };
@@ -229,16 +241,16 @@
     objects.len()
 }
 
-/// Forgets the entries that did not come back after the store's return, when that is certain.
-async fn forget_when_due(
+/// Removes the entries that were not registered again by the end of the grace period after an outage of the store.
+async fn remove_after_grace(
     context: Arc<GatewayContext>,
     membership: Arc<Mutex<EndpointMembership>>,
     grace_start: TimePoint,
 ) {
     let due = grace_start + EndpointMembership::RECOVERY_GRACE;
     context.timer.wait(due.since(context.timer.now())).await;
-    let lapsed = lock(&membership).take_expired(context.timer.now());
-    for entry in lapsed {
+    let expired = lock(&membership).take_expired(context.timer.now());
+    for entry in expired {
         context.endpoints.forget_entry(&entry, "lapsed");
     }
 }
--- a/crates/hollyhook_gateway/src/store/feed_reader.rs
+++ b/crates/hollyhook_gateway/src/store/feed_reader.rs
@@ -6,51 +6,52 @@
 };
 use hollyhook_platform::{ObjectKind, StoreChange, StoreObject};
 
-use super::list_reading::{PartTaker, strip};
-use super::page_list::PageList;
+use super::list_reading::{PageCallback, strip};
+use super::partial_list::PartialList;
 use super::{StoreClient, StoreError};
 use crate::gateway::GatewayContext;
 use crate::peer::{PeerClient, PeerFault, PeerQuestion, PeerRole};
 
-/// The least that a watch waits at a host that reads for others, also where what it knows has grown old: a call that
-/// returns at once is charged and seldom brings anything.
-const LEAST_WAIT: Duration = Duration::from_millis(200);
+/// Lower bound of a leader's watch wait, also if the leader's copy is old: a call that returns at once is charged and
+/// seldom brings changes.
+const MIN_LEADER_WAIT: Duration = Duration::from_millis(200);
 
-/// The pause after another host helped out; each try of the store in between is charged, and what is learnt so is that old.
-const HELP_PAUSE: Duration = Duration::from_millis(500);
+/// Pause after an update from a helper. Each update is first requested from the store, which charges the call; the
+/// copy that the helpers provide ages by this pause.
+const HELPER_PAUSE: Duration = Duration::from_millis(500);
 
-/// Endpoints above which a list is long: one of so many takes a few pages of the store, and the smallest host sends it in a
-/// quarter of a second.
-const LONG_LIST: usize = 1_000;
+/// Number of endpoints above which a list counts as long: the store returns a list of this length in a few pages, and
+/// the smallest host sends it in a quarter of a second.
+const LONG_LIST_LEN: usize = 1_000;
 
-/// Follows one kind of object, from the store or from a host that reads it for others.
+/// Reads updates to one kind of object, from the store or from a host that reads the store for others.
 #[derive(Debug)]
 pub(crate) struct FeedReader {
     pub(super) context: Arc<GatewayContext>,
     pub(super) kind: ObjectKind,
     pub(super) client: StoreClient,
     peers: PeerClient,
-    /// How long one watch waits at a host that reads for itself.
-    wait: Duration,
-    /// The revision to go on from; none if all objects have to be read first.
+    /// How long a watch waits for changes at a host that is not a leader.
+    watch_wait: Duration,
+    /// Revision of the last update; `None` if all objects have to be listed first.
     revision: Option<StoreRevision>,
-    /// The newest era in which news came.
+    /// The store's era in the last update.
     era: u64,
-    /// Until when the last news were certain.
+    /// Time until which the last update is known to be complete.
     pub(super) confirmed_until: TimePoint,
     pub(super) contact: StoreContact,
-    /// When the first call began that the store did not answer; none while it answers.
+    /// When the first failed call to the store in a row began; `None` while the store answers.
     lost_at: Option<TimePoint>,
-    /// A list of which a page got no answer.
-    pub(super) begun: Option<PageList>,
-    /// Who is told of the first list page by page.
-    pub(super) part_taker: Option<PartTaker>,
-    /// Whether the last news came from a host that was asked because the store gave no answer.
-    is_helped: bool,
+    /// A list that a failed call for a page interrupted.
+    pub(super) partial_list: Option<PartialList>,
+    /// Called after each page of the first list.
+    pub(super) page_callback: Option<PageCallback>,
+    /// Whether the last update came from a helper, a host that is asked when the store does not answer.
+    is_from_helper: bool,
 }
 
 impl FeedReader {
-    pub(crate) fn new(context: Arc<GatewayContext>, kind: ObjectKind, wait: Duration) -> Self {
+    pub(crate) fn new(context: Arc<GatewayContext>, kind: ObjectKind, watch_wait: Duration) -> Self {
         let client = StoreClient::new(&context);
         let peers = PeerClient::new(context.timer.as_ref().clone());
         Self {
@@ -58,68 +59,73 @@
             kind,
             client,
             peers,
-            wait,
+            watch_wait,
             revision: None,
             era: 0,
             confirmed_until: TimePoint::ZERO,
             contact: StoreContact::default(),
             lost_at: None,
-            begun: None,
-            part_taker: None,
-            is_helped: false,
+            partial_list: None,
+            page_callback: None,
+            is_from_helper: false,
         }
     }
 
-    /// The same reader that tells of its first list page by page: a host that has just started can serve with a part.
-    pub(crate) fn part_taker(mut self, taker: impl FnMut(&[StoreObject]) + Send + Sync + 'static) -> Self {
-        self.part_taker = Some(PartTaker(Box::new(taker)));
+    /// Sets a callback that receives the objects read so far after each page of the first list, so that a host that
+    /// has just started can serve requests before its list is complete.
+    pub(crate) fn page_callback(mut self, callback: impl FnMut(&[StoreObject]) + Send + Sync + 'static) -> Self {
+        self.page_callback = Some(PageCallback(Box::new(callback)));
         self
     }
 
-    /// From whom this host learns now.
+    /// Where this host gets the contents of the store at present.
     pub(crate) fn plan(&self) -> FeedPlan {
         self.context.feed.plan(self.context.timer.now())
     }
 
-    /// The next news; waits a while for some.
+    /// Waits a limited time for changes, and returns the next update, which states no changes if there were none.
     ///
     /// # Errors
     ///
-    /// Why neither another host nor the store gave any.
-    pub(crate) async fn next(&mut self) -> Result<FeedUpdate<StoreObject>, StoreError> {
-        if std::mem::take(&mut self.is_helped) {
-            self.context.timer.wait(HELP_PAUSE).await;
+    /// Why the store returned no update, if no other host did either.
+    pub(crate) async fn next_update(&mut self) -> Result<FeedUpdate<StoreObject>, StoreError> {
+        if std::mem::take(&mut self.is_from_helper) {
+            self.context.timer.wait(HELPER_PAUSE).await;
         }
         if self.revision.is_some() {
             self.context.wait_for_hosts().await;
         }
         let plan = self.plan();
         let role = if matches!(plan, FeedPlan::Relay(_)) { PeerRole::Leader } else { PeerRole::Source };
-        // In a first list, or a new one, of many pages another host is asked for the rest.
-        let sources = if self.has_long_list() { &[] } else { plan.sources() };
-        if let Some(news) = self.ask_hosts(role, sources).await {
+        // A long list takes a host longer to send than the timeout of this role. `list` requests it from a source with
+        // a longer timeout, or reads it from the store.
+        let sources = if self.is_long_list_needed() { &[] } else { plan.sources() };
+        if let Some(update) = self.fetch_from_hosts(role, sources).await {
             self.contact.note_peer_answer(self.context.timer.now());
-            self.take(&news);
-            return Ok(news);
+            self.apply(&update);
+            return Ok(update);
         }
-        let wait = if plan == FeedPlan::Lead { self.leader_wait() } else { self.wait };
-        match self.ask_store(wait).await {
-            Ok(news) => {
-                self.take(&news);
-                Ok(news)
+        let wait = if plan == FeedPlan::Lead { self.leader_wait() } else { self.watch_wait };
+        match self.fetch_from_store(wait).await {
+            Ok(update) => {
+                self.apply(&update);
+                Ok(update)
             }
             Err(error) => {
-                let is_away = !matches!(error, StoreError::HistoryGone);
-                if is_away {
+                let is_unanswered = !matches!(error, StoreError::HistoryGone);
+                if is_unanswered {
                     self.context.feed.forgive();
                 }
-                if is_away && let Some(mut news) = self.ask_hosts(PeerRole::Helper, &self.helpers()).await {
+                if is_unanswered
+                    && let Some(mut update) = self.fetch_from_hosts(PeerRole::Helper, &self.helpers()).await
+                {
                     self.context.board.count("helped_by_hosts");
-                    self.is_helped = true;
-                    // Who was helped tells nobody: what it knows may be older than others would wait for.
-                    news.hops = u32::MAX;
-                    self.take(&news);
-                    return Ok(news);
+                    self.is_from_helper = true;
+                    // A host that was updated by a helper does not update others: its copy may be older than they
+                    // accept.
+                    update.hops = u32::MAX;
+                    self.apply(&update);
+                    return Ok(update);
                 }
                 self.revision = None;
                 Err(error)
@@ -127,19 +133,20 @@
         }
     }
 
-    /// Whether all objects have to be read, more than any host tells within the usual time.
-    fn has_long_list(&self) -> bool {
+    /// Whether all objects have to be listed, and are so many that another host can't send them within the usual
+    /// timeout.
+    fn is_long_list_needed(&self) -> bool {
         let is_endpoints = self.kind == ObjectKind::Endpoint;
-        self.revision.is_none() && is_endpoints && self.context.endpoints.table().len() > LONG_LIST
+        self.revision.is_none() && is_endpoints && self.context.endpoints.table().len() > LONG_LIST_LEN
     }
 
-    /// Whom to ask when the store gives no answer.
+    /// The hosts to ask when the store does not answer.
     fn helpers(&self) -> Vec<HostRecord> {
         self.context.feed.helpers(self.context.timer.now())
     }
 
-    /// Waits until the store may be asked again after it gave no answer.
-    pub(crate) async fn pause(&self) {
+    /// Waits for the retry delay after a failed call.
+    pub(crate) async fn wait_before_retry(&self) {
         let now = self.context.timer.now();
         let pause = if self.plan().sources().is_empty() {
             self.contact.retry_delay(now)
@@ -149,21 +156,28 @@
         self.context.timer.wait(pause).await;
     }
 
-    /// How long a watch waits for others: what they are told ages meanwhile, from when the last answer was certain.
+    /// How long a leader's watch waits for changes: less the older its copy is, since followers receive a copy that
+    /// ages meanwhile.
     fn leader_wait(&self) -> Duration {
         let age = self.context.timer.now().since(self.confirmed_until);
-        self.context.feed_timing().leader_wait().saturating_sub(age).max(LEAST_WAIT)
+        self.context.feed_timing().leader_wait().saturating_sub(age).max(MIN_LEADER_WAIT)
     }
 
-    fn take(&mut self, news: &FeedUpdate<StoreObject>) {
-        self.revision = self.revision.max(Some(news.revision));
-        self.era = news.revision.era;
-        self.confirmed_until = news.confirmed_until;
-        self.context.feed.take(self.kind, news);
+    /// Records an update, and makes it available to other hosts.
+    fn apply(&mut self, update: &FeedUpdate<StoreObject>) {
+        self.revision = self.revision.max(Some(update.revision));
+        self.era = update.revision.era;
+        self.confirmed_until = update.confirmed_until;
+        self.context.feed.take(self.kind, update);
     }
 
-    /// What the first of these hosts knows that is of use; the others are passed over for a while.
-    pub(super) async fn ask_hosts(&mut self, role: PeerRole, hosts: &[HostRecord]) -> Option<FeedUpdate<StoreObject>> {
+    /// Asks hosts in turn for an update, and returns the first usable one. Hosts that did not provide one are skipped
+    /// for a while; returns `None` if no host did.
+    pub(super) async fn fetch_from_hosts(
+        &mut self,
+        role: PeerRole,
+        hosts: &[HostRecord],
+    ) -> Option<FeedUpdate<StoreObject>> {
         for host in hosts {
             let question = PeerQuestion {
                 role,
@@ -173,29 +187,30 @@
                 asked_at: self.context.timer.now(),
             };
             match self.peers.ask(host, question).await {
-                Ok(news) if news.revision.era < self.context.feed.era() => {
-                    let why = "it has not heard that the store came back from a copy";
-                    self.pass_over(role, host, PeerFault { reason: SkipReason::Stale, why });
+                Ok(update) if update.revision.era < self.context.feed.era() => {
+                    let why = "its copy is of an earlier era of the store";
+                    self.skip_host(role, host, PeerFault { reason: SkipReason::Stale, why });
                 }
-                Ok(news) => {
-                    self.note_era(host, &news);
-                    return Some(news);
+                Ok(update) => {
+                    self.observe_peer_era(host, &update);
+                    return Some(update);
                 }
-                Err(fault) => self.pass_over(role, host, fault),
+                Err(fault) => self.skip_host(role, host, fault),
             }
         }
         None
     }
 
-    /// Takes in the era of the store that another host heard of.
-    fn note_era(&self, host: &HostRecord, news: &FeedUpdate<StoreObject>) {
-        let (before, era) = (self.context.feed.era(), news.revision.era);
+    /// Records the era of the store that another host's update states, if it is newer than any seen before.
+    fn observe_peer_era(&self, host: &HostRecord, update: &FeedUpdate<StoreObject>) {
+        let (before, era) = (self.context.feed.era(), update.revision.era);
         if era > 0 && self.context.feed.judge_era(Some(era)) == EraVerdict::Newer {
             tracing::info!(before, era, told_by = %host.host, "store.era");
         }
     }
 
-    fn pass_over(&self, role: PeerRole, host: &HostRecord, fault: PeerFault) {
+    /// Logs that a host provided no usable update, and excludes the host as a source or helper for a while.
+    fn skip_host(&self, role: PeerRole, host: &HostRecord, fault: PeerFault) {
         let now = self.context.timer.now();
         match role {
             PeerRole::Leader | PeerRole::Source | PeerRole::ListSource => {
@@ -210,66 +225,66 @@
         }
     }
 
-    /// What the store answers; if a connection that worked gives nothing, a new one is tried at once.
+    /// Calls the store; if the first call after an answer fails, lists all objects over a new connection at once.
     ///
-    /// Connections go silent for good while new ones work. To ask two other hosts first (0.25 s each) and pause (0.25 s) would
-    /// make the host that much later to know of endpoints that leave.
-    async fn ask_store(&mut self, usual_wait: Duration) -> Result<FeedUpdate<StoreObject>, StoreError> {
+    /// An established connection may stay dead while new connections work. If the host first asked two other hosts
+    /// (0.25 s each) and waited for the retry delay (0.25 s), it would learn that much later of endpoints that leave.
+    async fn fetch_from_store(&mut self, usual_wait: Duration) -> Result<FeedUpdate<StoreObject>, StoreError> {
         let was_away = self.contact.is_away();
         match self.call_store(self.revision, usual_wait).await {
-            Err(StoreError::Away(_)) if !was_away => self.call_store(None, usual_wait).await,
+            Err(StoreError::Unavailable(_)) if !was_away => self.call_store(None, usual_wait).await,
             outcome => outcome,
         }
     }
 
-    /// One call: a watch from a revision, or a list without one.
+    /// Watches for changes after a revision, or lists all objects if there is none; records whether the store answered.
     async fn call_store(
         &mut self,
         revision: Option<StoreRevision>,
         usual_wait: Duration,
     ) -> Result<FeedUpdate<StoreObject>, StoreError> {
-        let asked_at = self.context.timer.now();
+        let started_at = self.context.timer.now();
         let mut outcome = match revision {
-            Some(revision) => self.watch(asked_at, revision, usual_wait).await,
-            None => self.list(asked_at).await,
+            Some(revision) => self.watch(started_at, revision, usual_wait).await,
+            None => self.list(started_at).await,
         };
         match &mut outcome {
-            // Another host told it, which says nothing of the store's way to this one.
-            Ok(news) if news.hops > 0 => self.contact.note_peer_answer(self.context.timer.now()),
-            Ok(news) => {
-                self.note_regained(asked_at);
+            // The update came from another host, which does not show that the store answers this host.
+            Ok(update) if update.hops > 0 => self.contact.note_peer_answer(self.context.timer.now()),
+            Ok(update) => {
+                self.log_regained(started_at);
                 let (now, bound) = (self.context.timer.now(), self.context.contact_bound());
-                let has_come_back = self.confirmed_until > TimePoint::ZERO && news.revision.era > self.era;
-                news.grace_start = if has_come_back {
+                let is_restored = self.confirmed_until > TimePoint::ZERO && update.revision.era > self.era;
+                update.grace_start = if is_restored {
                     Some(self.contact.note_restore(now, bound))
                 } else {
                     self.contact.note_answer(now, bound)
                 };
             }
-            Err(StoreError::HistoryGone) => self.note_regained(asked_at),
+            Err(StoreError::HistoryGone) => self.log_regained(started_at),
             Err(error) => {
-                self.note_lost(asked_at, error);
-                self.contact.note_failure(asked_at);
+                self.record_lost(started_at, error);
+                self.contact.note_failure(started_at);
             }
         }
         outcome
     }
 
-    /// Logs that the store answers again, if it did not, as a call shows that began at `asked_at`.
-    fn note_regained(&mut self, asked_at: TimePoint) {
+    /// Logs that the store answers again after failed calls; the answered call began at `started_at`.
+    fn log_regained(&mut self, started_at: TimePoint) {
         let Some(lost_at) = self.lost_at.take() else {
             return;
         };
-        let (away_ms, call_ms) = (self.millis_since(lost_at), self.millis_since(asked_at));
+        let (away_ms, call_ms) = (self.millis_since(lost_at), self.millis_since(started_at));
         tracing::info!(kind = self.kind.as_str(), away_ms, call_ms, "store.regained");
     }
 
-    /// Counts a call without an answer, and logs the first.
-    fn note_lost(&mut self, asked_at: TimePoint, error: &StoreError) {
+    /// Counts a failed call to the store, and logs the first in a row.
+    fn record_lost(&mut self, started_at: TimePoint, error: &StoreError) {
         self.context.board.count("store_calls_failed");
         if self.lost_at.is_none() {
-            self.lost_at = Some(asked_at);
-            let call_ms = self.millis_since(asked_at);
+            self.lost_at = Some(started_at);
+            let call_ms = self.millis_since(started_at);
             tracing::warn!(kind = self.kind.as_str(), %error, call_ms, "store.lost");
         }
     }
@@ -280,23 +295,23 @@
 
     async fn watch(
         &mut self,
-        asked_at: TimePoint,
+        started_at: TimePoint,
         revision: StoreRevision,
         usual_wait: Duration,
     ) -> Result<FeedUpdate<StoreObject>, StoreError> {
-        let wait = self.contact.watch_wait(asked_at, usual_wait, self.context.contact_bound());
+        let wait = self.contact.watch_wait(started_at, usual_wait, self.context.contact_bound());
         let limit = self.contact.watch_timeout(wait);
         let (changes, revision) = self.client.watch(self.kind, revision, wait, limit).await?;
         let is_quiet = changes.is_empty();
-        // A watch that returned nothing waited its full time and saw nothing up to then.
-        let waited_until = (asked_at + wait).min(self.context.timer.now());
-        let confirmed_until = if is_quiet { waited_until } else { asked_at };
+        // A watch that returned no changes waited its full time, and there were none until its end.
+        let waited_until = (started_at + wait).min(self.context.timer.now());
+        let confirmed_until = if is_quiet { waited_until } else { started_at };
         let changes = changes.into_iter().map(|known| change(self.kind, known)).collect();
         Ok(FeedUpdate { is_snapshot: false, changes, revision, confirmed_until, grace_start: None, hops: 0 })
     }
 }
 
-/// An object that is being deleted counts as gone.
+/// Converts a change read from the store; an object that is being deleted counts as removed.
 fn change(kind: ObjectKind, change: StoreChange) -> FeedChange<StoreObject> {
     let name = Name::clone(&change.object.name);
     let is_gone = change.is_gone || change.object.is_deleting;
--- a/crates/hollyhook_gateway/src/store/list_reading.rs
+++ b/crates/hollyhook_gateway/src/store/list_reading.rs
@@ -4,78 +4,86 @@
 use hollyhook_core::{FeedChange, FeedUpdate, Name, TimePoint};
 use hollyhook_platform::{JsonText, ObjectKind, StoreObject};
 
-use super::page_list::PageList;
+use super::partial_list::PartialList;
 use super::{FeedReader, StoreError};
 use crate::peer::PeerRole;
 
-/// How long after its first page a list may go on that got no answer for a page; the store keeps what changed meanwhile for
-/// longer.
-const LIST_KEPT: Duration = Duration::from_secs(5);
+/// How long after its first page a list that was interrupted by a failed call may be continued. The store keeps its
+/// history of changes for longer, so that a watch from the first page's revision returns what changed meanwhile.
+const PARTIAL_LIST_LIFETIME: Duration = Duration::from_secs(5);
 
-/// Takes what is read of the first list before it is whole: the objects so far.
-pub(super) struct PartTaker(pub(super) Box<TakePart>);
+/// Callback that receives the objects read so far, after each page of a reader's first list but the last.
+pub(super) struct PageCallback(pub(super) Box<PageFn>);
 
-pub(super) type TakePart = dyn FnMut(&[StoreObject]) + Send + Sync;
+pub(super) type PageFn = dyn FnMut(&[StoreObject]) + Send + Sync;
 
-impl fmt::Debug for PartTaker {
+impl fmt::Debug for PageCallback {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("PartTaker")
     }
 }
 
-/// Reading all objects of a kind.
+/// Reads all objects of a kind.
 impl FeedReader {
-    /// All objects, from the store or from the host that this one follows.
-    pub(super) async fn list(&mut self, asked_at: TimePoint) -> Result<FeedUpdate<StoreObject>, StoreError> {
-        let begun = self.begun.take().filter(|list| asked_at.since(list.asked_at) < LIST_KEPT);
-        let mut list = begun.unwrap_or_else(|| PageList::new(asked_at));
+    /// Lists all objects, from the store or from a source host; continues a list that a failed call interrupted.
+    ///
+    /// # Errors
+    ///
+    /// Why the store returned no complete list.
+    pub(super) async fn list(&mut self, started_at: TimePoint) -> Result<FeedUpdate<StoreObject>, StoreError> {
+        let partial_list =
+            self.partial_list.take().filter(|list| started_at.since(list.started_at) < PARTIAL_LIST_LIFETIME);
+        let mut list = partial_list.unwrap_or_else(|| PartialList::new(started_at));
         let limit = self.contact.call_timeout();
-        // Where many hosts start at once, the first pages of all would hold up the list of the one that reads it for them.
-        let mut has_asked = list.after.is_none() && self.has_relays().await;
-        if has_asked && let Some(news) = self.ask_list_source().await {
-            return Ok(news);
+        // If many hosts start at once, the first pages that all of them read would delay the host that reads the list
+        // for the others.
+        let mut has_asked_source = list.after.is_none() && self.has_relays().await;
+        if has_asked_source && let Some(update) = self.fetch_list_from_source().await {
+            return Ok(update);
         }
         loop {
             let (era, mut page) = match self.client.list_page(self.kind, list.after.as_deref(), limit).await {
                 Ok(answer) => answer,
                 Err(error) => {
-                    self.begun = Some(list).filter(|_| matches!(error, StoreError::Away(_) | StoreError::Throttled));
+                    self.partial_list =
+                        Some(list).filter(|_| matches!(error, StoreError::Unavailable(_) | StoreError::Throttled));
                     return Err(error);
                 }
             };
             page.objects = page.objects.into_iter().map(|object| strip(self.kind, object)).collect();
-            if !list.take(era, page) {
-                // The store came back from a copy between two pages; together they are the list of no moment.
+            if !list.add_page(era, page) {
+                // The store was restored from an older copy between two pages, which therefore don't form one list.
                 return Err(StoreError::HistoryGone);
             }
             if list.after.is_none() {
                 break;
             }
-            self.tell_part(&list).await;
-            // Those who could tell may become known while the store is busy with the lists of all who start.
-            if !has_asked {
+            self.report_pages(&list).await;
+            // The source may become known only now, while the store is busy with the lists of all starting hosts.
+            if !has_asked_source {
                 self.context.wait_for_list_source().await;
-                has_asked = !self.plan().sources().is_empty();
-                if let Some(news) = self.ask_list_source().await {
-                    return Ok(news);
+                has_asked_source = !self.plan().sources().is_empty();
+                if let Some(update) = self.fetch_list_from_source().await {
+                    return Ok(update);
                 }
             }
         }
-        Ok(whole_news(list))
+        Ok(into_snapshot(list))
     }
 
-    /// Tells what is read of a first list before it is whole.
-    async fn tell_part(&mut self, list: &PageList) {
-        if self.confirmed_until > TimePoint::ZERO || self.part_taker.is_none() {
+    /// Passes the objects read so far to the callback, if there is one and this is the reader's first list.
+    async fn report_pages(&mut self, list: &PartialList) {
+        if self.confirmed_until > TimePoint::ZERO || self.page_callback.is_none() {
             return;
         }
         self.context.wait_for_site().await;
-        if let Some(PartTaker(take)) = self.part_taker.as_mut() {
-            take(&list.objects);
+        if let Some(PageCallback(callback)) = self.page_callback.as_mut() {
+            callback(&list.objects);
         }
     }
 
-    /// Whether the hosts of the zone are so many that some tell on what one reads.
+    /// Whether endpoints are read and the zone has so many hosts that relays pass the leaders' updates on to the
+    /// others.
     async fn has_relays(&self) -> bool {
         if self.kind != ObjectKind::Endpoint {
             return false;
@@ -84,35 +92,35 @@
         self.context.feed.has_relays()
     }
 
-    /// All objects, as the host knows them that this one follows; none if it reads the store for others, or if that one can't
-    /// tell.
+    /// Fetches all endpoints from this host's best source; `None` if this host has no source or the source can't
+    /// answer.
     ///
-    /// Where hundreds of hosts read thousands of entries each, as after a loss of power of all, the store's one link is busy for
-    /// minutes, and each page is a call.
-    async fn ask_list_source(&mut self) -> Option<FeedUpdate<StoreObject>> {
+    /// If hundreds of hosts read thousands of entries each, as after a power failure of the whole site, the store's
+    /// one link is busy for minutes, and each page is a call.
+    async fn fetch_list_from_source(&mut self) -> Option<FeedUpdate<StoreObject>> {
         if self.kind != ObjectKind::Endpoint {
             return None;
         }
         let source = self.plan().sources().first().cloned()?;
-        self.ask_hosts(PeerRole::ListSource, &[source]).await
+        self.fetch_from_hosts(PeerRole::ListSource, &[source]).await
     }
 }
 
-fn whole_news(list: PageList) -> FeedUpdate<StoreObject> {
-    let PageList { asked_at, objects, revision, .. } = list;
+fn into_snapshot(list: PartialList) -> FeedUpdate<StoreObject> {
+    let PartialList { started_at, objects, revision, .. } = list;
     let present = objects.into_iter().filter(|object| !object.is_deleting);
     let changes = present.map(|object| FeedChange { name: Name::clone(&object.name), object: Some(object) });
     FeedUpdate {
         is_snapshot: true,
         changes: changes.collect(),
         revision: revision.unwrap_or_default(),
-        confirmed_until: asked_at,
+        confirmed_until: started_at,
         grace_start: None,
         hops: 0,
     }
 }
 
-/// What is kept of an object, and told to others.
+/// Strips an object of the parts that no host reads, before it is kept and passed on to other hosts.
 pub(super) fn strip(kind: ObjectKind, object: StoreObject) -> StoreObject {
     match kind {
         ObjectKind::Endpoint => hollyhook_platform::strip_endpoint(object),
--- a/crates/hollyhook_gateway/src/store/mod.rs
+++ b/crates/hollyhook_gateway/src/store/mod.rs
@@ -1,4 +1,5 @@
-//! What the platform's store holds: the configuration, the endpoints and orders of roll-outs, followed by watches.
+//! Client of the platform's store: watches the configuration, the endpoints and the roll-out orders, and writes crash
+//! records, trial reports and roll-out states.
 
 use hollyhook_core::FeedPlan;
 
@@ -7,7 +8,7 @@
 mod endpoint_watch;
 mod feed_reader;
 mod list_reading;
-mod page_list;
+mod partial_list;
 mod quarantine_writer;
 mod rollout_watch;
 mod rollout_worker;
@@ -21,7 +22,7 @@
 pub(crate) use site_watch::SiteWatch;
 pub(crate) use store_client::{StoreClient, StoreError};
 
-/// Whether this host reads the store itself, for others or for itself alone.
+/// Whether this host reads endpoints and the configuration from the store rather than from another host.
 fn is_reader(context: &GatewayContext) -> bool {
     matches!(context.feed.plan(context.timer.now()), FeedPlan::Lead | FeedPlan::Alone)
 }
--- a/crates/hollyhook_gateway/src/store/quarantine_writer.rs
+++ b/crates/hollyhook_gateway/src/store/quarantine_writer.rs
@@ -9,16 +9,17 @@
 use super::{StoreClient, StoreError, is_reader};
 use crate::gateway::GatewayContext;
 
-/// How long what was noted is gathered before it is written, in milliseconds, drawn anew each time: hosts that lost the same
-/// endpoint write at the same moment, and each write makes those of the others fail.
-const GATHER: std::ops::Range<u64> = 40..160;
-/// The pause after the store gave no answer.
+/// Delay in milliseconds before each write, in which further records are collected. It is random, because hosts that
+/// lost the same endpoint would otherwise write at the same moment, and each write makes those of the others fail.
+const BATCH_DELAY_MS: std::ops::Range<u64> = 40..160;
+/// Delay after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Writes what hosts noted of requests that end endpoints to the platform's store: into the status of an endpoint's entry, so
-/// that all hosts hear of it as they do of the endpoints.
+/// Writes the records of requests that crash endpoints to the platform's store, into the status of an endpoint's
+/// entry, so that all hosts receive the records with their updates to the endpoints.
 ///
-/// The configuration would be the more lasting place, but each change of it carries all of it to each host.
+/// Records in the configuration would outlive the endpoint's entry, but any change of the configuration sends all of
+/// it to each host.
 #[derive(Debug)]
 pub(crate) struct QuarantineWriter {
     context: Arc<GatewayContext>,
@@ -26,7 +27,7 @@
 }
 
 impl QuarantineWriter {
-    /// Begins to write if anything is to be told and nobody here writes yet.
+    /// Starts a writer if this host has records to write and no writer is running.
     pub(crate) fn spawn_if_needed(context: &Arc<GatewayContext>) {
         if context.quarantine.begin_writing(|| is_reader(context)) {
             task::spawn(Self { context: Arc::clone(context), client: StoreClient::new(context) }.run());
@@ -35,15 +36,16 @@
 
     async fn run(mut self) {
         loop {
-            let gather = rand::rng().random_range(GATHER);
-            self.context.timer.wait(Duration::from_millis(gather)).await;
+            let delay = rand::rng().random_range(BATCH_DELAY_MS);
+            self.context.timer.wait(Duration::from_millis(delay)).await;
             if self.records_to_write().is_none() {
                 break;
             }
             match self.write().await {
                 Ok(()) => {}
-                // Another host was first; what it wrote is read and joined with what this one knows.
-                Err(StoreError::Exists) => tracing::debug!("quarantine.written_by_other"),
+                // Another host wrote the entry first; the next write reads its records and merges them with those of
+                // this host.
+                Err(StoreError::Conflict) => tracing::debug!("quarantine.written_by_other"),
                 Err(error) => {
                     tracing::info!(%error, "quarantine.not_written");
                     self.context.timer.wait(RETRY_PAUSE).await;
@@ -51,14 +53,20 @@
             }
         }
         self.context.quarantine.end_writing();
-        // Something may have been noted since it was last looked at.
+        // Records may have been added since the last check, when no other writer could be started.
         Self::spawn_if_needed(&self.context);
     }
 
-    /// Reads the entry and writes what is missing there; so what became of an earlier write without an answer is seen too.
+    /// Reads the entry and writes the records that it lacks.
+    ///
+    /// The read also shows whether an earlier write that was not answered took effect.
     async fn write(&mut self) -> Result<(), StoreError> {
-        let name = self.context.endpoints.crash_record_entry().ok_or(StoreError::Away("no endpoint is registered"))?;
-        let entry = self.client.read(ObjectKind::Endpoint, &name).await?;
+        let name = self
+            .context
+            .endpoints
+            .crash_record_entry()
+            .ok_or(StoreError::Unavailable("no endpoint has an entry to write crash records to"))?;
+        let entry = self.client.read_object(ObjectKind::Endpoint, &name).await?;
         self.context.quarantine.read_entry(&entry);
         let Some(records) = self.records_to_write() else {
             return Ok(());
--- a/crates/hollyhook_gateway/src/store/rollout_watch.rs
+++ b/crates/hollyhook_gateway/src/store/rollout_watch.rs
@@ -9,28 +9,30 @@
 use super::{StoreClient, StoreError, is_reader};
 use crate::gateway::GatewayContext;
 
-/// How long one watch waits while nothing is being decided; an order ends it at once.
-const QUIET_WAIT: Duration = Duration::from_secs(25);
-/// The same while a version is on trial: so long after its way to the store went silent a host may still send requests there.
+/// How long a watch waits while no roll-out is active; a change of any order ends it at once.
+const IDLE_WAIT: Duration = Duration::from_secs(25);
+/// How long a watch waits while a version is on trial. A host whose connection to the store died may send requests to
+/// that version for so long.
 const ACTIVE_WAIT: Duration = Duration::from_millis(1_200);
-/// How long an answer may take beyond its wait.
+/// Time that a call may take beyond its wait.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// How often a host that does not read the store for others looks whether it should.
+/// How often a host that does not need the orders checks whether it does.
 const IDLE_CHECK: Duration = Duration::from_secs(5);
-/// The same while the other hosts are not listed yet.
-const START_CHECK: Duration = Duration::from_millis(500);
-/// The pause after a call without an answer.
+/// How often it checks while the other hosts are being listed for the first time.
+const LISTING_CHECK: Duration = Duration::from_millis(500);
+/// Delay after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Follows the operator's orders to move services to other versions.
+/// Keeps the operator's roll-out orders up to date, which move services to other versions.
 ///
-/// Hosts that read the store for others watch them; the others look when an endpoint of another version registers, and
-/// watch while one is on trial. Until a host has looked, that version gets nothing from it.
+/// Hosts that read the store themselves watch the orders all the time. The other hosts list them when an endpoint of
+/// an unknown version registers, and watch them while a version is on trial. A host sends no requests to an unknown
+/// version until it has listed the orders.
 #[derive(Debug)]
 pub(crate) struct RolloutWatch {
     context: Arc<GatewayContext>,
     client: StoreClient,
-    /// The revision to go on from; none if all orders have to be read first.
+    /// Revision to watch from; `None` if all orders have to be listed first.
     revision: Option<StoreRevision>,
 }
 
@@ -40,15 +42,15 @@
         Self { context, client, revision: None }
     }
 
-    /// Follows them until the process ends.
+    /// Lists and watches the orders until the process ends, whenever this host needs them.
     pub(crate) async fn run(mut self) {
         loop {
             if !self.is_needed() {
                 self.revision = None;
                 let signal = self.context.rollouts.signal();
-                // It may have come since it was asked whether this is needed.
+                // A version may have been found after `is_needed` was checked and before the signal was set up.
                 if !self.context.rollouts.has_unvetted() {
-                    let check = if self.context.feed.is_listing() { START_CHECK } else { IDLE_CHECK };
+                    let check = if self.context.feed.is_listing() { LISTING_CHECK } else { IDLE_CHECK };
                     let _woken = self.context.timer.within(check, signal).await;
                 }
                 continue;
@@ -63,9 +65,10 @@
         }
     }
 
+    /// Whether this host needs the roll-out orders now.
     fn is_needed(&self) -> bool {
         let rollouts = &self.context.rollouts;
-        // Until the others are listed, each host takes itself for one that reads the store.
+        // Until the other hosts are listed, the feed's plan is that each host reads the store itself.
         let is_reader = || !self.context.feed.is_listing() && is_reader(&self.context);
         rollouts.is_on() && (rollouts.has_unvetted() || rollouts.is_awaited() || is_reader())
     }
@@ -75,26 +78,27 @@
             Some(revision) => self.watch(revision).await?,
             None => self.list().await?,
         }
-        RolloutWorker::wake(&self.context);
+        RolloutWorker::spawn_if_needed(&self.context);
         Ok(())
     }
 
     async fn list(&mut self) -> Result<(), StoreError> {
-        let looked_for = self.context.rollouts.unvetted();
+        let unvetted = self.context.rollouts.unvetted();
         let (objects, revision) = self.client.list(ObjectKind::Rollout, CALL_TIMEOUT).await?;
         self.context.rollouts.confirm(self.context.timer.now());
-        self.context.rollouts.take_list(&objects, &looked_for);
+        self.context.rollouts.take_list(&objects, &unvetted);
         self.revision = Some(revision);
         Ok(())
     }
 
     async fn watch(&mut self, revision: StoreRevision) -> Result<(), StoreError> {
-        let wait = if self.context.rollouts.is_awaited() { ACTIVE_WAIT } else { QUIET_WAIT };
+        let wait = if self.context.rollouts.is_awaited() { ACTIVE_WAIT } else { IDLE_WAIT };
         let signal = self.context.rollouts.signal();
         let watch = self.client.watch(ObjectKind::Rollout, revision, wait, wait + CALL_TIMEOUT);
         let outcome = match select(Box::pin(watch), signal).await {
             Either::Left((outcome, _signal)) => outcome?,
-            // A version is to be vetted, which a list does; the call that is left goes with its connection.
+            // An unknown version was found, for which the orders have to be listed. Dropping the unfinished call
+            // closes its connection.
             Either::Right(_) => return Ok(()),
         };
         self.context.rollouts.confirm(self.context.timer.now());
--- a/crates/hollyhook_gateway/src/store/rollout_worker.rs
+++ b/crates/hollyhook_gateway/src/store/rollout_worker.rs
@@ -9,46 +9,46 @@
 use super::{StoreClient, StoreError, is_reader};
 use crate::gateway::{GatewayContext, KnownRollout};
 
-/// The pause between two rounds, in milliseconds, drawn anew each time so that hosts don't write at once.
-const ROUND: std::ops::Range<u64> = 400..600;
+/// Delay in milliseconds between two rounds; random, so that hosts don't write at the same moment.
+const ROUND_PAUSE_MS: std::ops::Range<u64> = 400..600;
 
-/// While a version is on trial: tells what this host saw of it, and, at hosts that read the store for others, judges it by
-/// what all saw and writes how far the roll-out is.
+/// Reports what this host observed of versions on trial. At hosts that read the store themselves, also evaluates these
+/// versions by the reports of all hosts and writes the states of the roll-outs.
 ///
-/// Several hosts decide by the same evidence. What the first of them writes holds: the others' writes name a revision
-/// that is no longer the order's, and what is decided never goes back.
+/// Several hosts decide by the same evidence, and the first write takes effect: the others name a revision that the
+/// order no longer has, and are rejected. The state of a roll-out never goes back.
 #[derive(Debug)]
 pub(crate) struct RolloutWorker {
     context: Arc<GatewayContext>,
     client: StoreClient,
-    /// What was last written of what this host saw.
-    told: Vec<TrialReport>,
+    /// The reports of this host that were last written.
+    written: Vec<TrialReport>,
 }
 
 impl RolloutWorker {
-    /// Begins if anything is to be decided and nobody here does so yet.
-    pub(crate) fn wake(context: &Arc<GatewayContext>) {
+    /// Starts a worker if a roll-out is active or its state is not stored, and no worker is running.
+    pub(crate) fn spawn_if_needed(context: &Arc<GatewayContext>) {
         if context.rollouts.begin_work() {
             let client = StoreClient::new(context);
-            task::spawn(Self { context: Arc::clone(context), client, told: Vec::new() }.run());
+            task::spawn(Self { context: Arc::clone(context), client, written: Vec::new() }.run());
         }
     }
 
     async fn run(mut self) {
         while self.context.rollouts.is_active() {
-            if let Err(error) = self.round().await {
+            if let Err(error) = self.run_round().await {
                 tracing::info!(%error, "rollout.round_failed");
             }
-            let pause = rand::rng().random_range(ROUND);
+            let pause = rand::rng().random_range(ROUND_PAUSE_MS);
             self.context.timer.wait(Duration::from_millis(pause)).await;
         }
         self.context.rollouts.end_work();
-        // Another order may have come since it was last looked.
-        Self::wake(&self.context);
+        // Another order may have arrived since the last check, when no other worker could be started.
+        Self::spawn_if_needed(&self.context);
     }
 
-    async fn round(&mut self) -> Result<(), StoreError> {
-        self.tell().await?;
+    async fn run_round(&mut self) -> Result<(), StoreError> {
+        self.write_reports().await?;
         if !is_reader(&self.context) {
             return Ok(());
         }
@@ -59,47 +59,49 @@
         Ok(())
     }
 
-    /// Writes what this host saw, if that is more than was written.
-    async fn tell(&mut self) -> Result<(), StoreError> {
+    /// Writes this host's reports if they changed since the last write.
+    async fn write_reports(&mut self) -> Result<(), StoreError> {
         let reports = self.context.rollouts.reports();
-        if reports == self.told {
+        if reports == self.written {
             return Ok(());
         }
         self.client.write_trials(&self.context.host, &reports).await?;
-        self.told = reports;
+        self.written = reports;
         Ok(())
     }
 
-    /// What the other hosts saw.
+    /// Reads the reports of the other hosts.
     async fn read_reports(&mut self) -> Result<Vec<TrialReport>, StoreError> {
-        let (objects, _revision) = self.client.list(ObjectKind::Trial, StoreClient::NOTE_TIMEOUT).await?;
+        let (objects, _revision) = self.client.list(ObjectKind::Trial, StoreClient::SHARED_RECORD_TIMEOUT).await?;
         let mut reports = Vec::new();
         for object in objects.iter().filter(|object| object.name != self.context.host) {
             match hollyhook_platform::decode_trials(object) {
-                Ok(told) => reports.extend(told),
+                Ok(decoded) => reports.extend(decoded),
                 Err(error) => tracing::error!(%error, host = %object.name, "trial.malformed"),
             }
         }
         Ok(reports)
     }
 
+    /// Writes the next state of a roll-out if the evidence of all hosts, or the time passed, calls for one.
     async fn decide(&mut self, rollout: &KnownRollout, reports: &[TrialReport]) -> Result<(), StoreError> {
         if let Some(state) = rollout.state.filter(|_| rollout.is_unwritten()) {
-            // The store came back from a copy of before the decision.
-            return self.write(rollout, state, VersionVerdict::Open, &TrialEvidence::default()).await;
+            // The store was restored from a copy that was made before this state was written.
+            return self.write_status(rollout, state, VersionVerdict::Open, &TrialEvidence::default()).await;
         }
         let mut evidence = self.context.rollouts.evidence(&rollout.order.service);
-        let is_meant =
+        let is_of_rollout =
             |report: &&TrialReport| report.service == rollout.order.service && report.target == rollout.order.target;
-        reports.iter().filter(is_meant).for_each(|report| evidence.merge(&report.evidence));
+        reports.iter().filter(is_of_rollout).for_each(|report| evidence.merge(&report.evidence));
         let verdict = evaluate_version(&evidence);
         match rollout.plan().step(self.context.timer.now(), verdict) {
             RolloutStep::Wait => Ok(()),
-            RolloutStep::Write(state) => self.write(rollout, state, verdict, &evidence).await,
+            RolloutStep::Write(state) => self.write_status(rollout, state, verdict, &evidence).await,
         }
     }
 
-    async fn write(
+    /// Writes a state of a roll-out, with the evidence for the log, unless another host changed the order first.
+    async fn write_status(
         &mut self,
         rollout: &KnownRollout,
         state: RolloutState,
@@ -108,8 +110,8 @@
     ) -> Result<(), StoreError> {
         let status = rollout.status(self.context.timer.now(), state);
         match self.client.write_rollout(&rollout.object, &rollout.order, &status).await {
-            // Another host was first; what it wrote is heard of.
-            Err(StoreError::Exists) => return Ok(()),
+            // Another host wrote first; the watch returns what it wrote.
+            Err(StoreError::Conflict) => return Ok(()),
             outcome => outcome?,
         }
         let (order, others) = (&rollout.order, evidence.others.values());
--- a/crates/hollyhook_gateway/src/store/site_watch.rs
+++ b/crates/hollyhook_gateway/src/store/site_watch.rs
@@ -7,14 +7,14 @@
 use super::{FeedReader, StoreError};
 use crate::gateway::GatewayContext;
 
-/// How long one watch waits. Each return confirms that no key was taken away, so it has to be well under the time
-/// for which a key is honoured without confirmation; a longer one costs fewer calls.
+/// How long a watch waits for changes. Each watch that returns confirms that no API key was revoked, so the wait must
+/// be well under the time for which keys are accepted without confirmation; a longer wait costs fewer calls.
 const WATCH_WAIT: Duration = Duration::from_millis(1_200);
-/// The pause after a change, so that a series of them comes with few calls; a tenth of the time within which a version
-/// has to be in force.
-const GATHER_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before the next watch after a change, so that few calls return a series of changes; a tenth of the time
+/// within which a new version of the configuration must be in force.
+const BATCH_DELAY: Duration = Duration::from_millis(200);
 
-/// Follows the operator's configuration.
+/// Keeps the operator's configuration of the site up to date with the store.
 #[derive(Debug)]
 pub(crate) struct SiteWatch {
     context: Arc<GatewayContext>,
@@ -27,29 +27,29 @@
         Self { context, reader }
     }
 
-    /// Follows it until the process ends.
+    /// Applies updates until the process ends.
     pub(crate) async fn run(mut self) {
         loop {
             if let Err(error) = self.step().await {
                 tracing::debug!(%error, "site.read_failed");
                 if !matches!(error, StoreError::HistoryGone) {
-                    self.reader.pause().await;
+                    self.reader.wait_before_retry().await;
                 }
             }
         }
     }
 
     async fn step(&mut self) -> Result<(), StoreError> {
-        let news = self.reader.next().await?;
-        if news.changes.is_empty() {
-            self.context.confirm_site(news.confirmed_until);
+        let update = self.reader.next_update().await?;
+        if update.changes.is_empty() {
+            self.context.confirm_site(update.confirmed_until);
             return Ok(());
         }
-        for object in news.changes.iter().filter_map(|change| change.object.as_ref()) {
-            self.adopt(object, news.confirmed_until, news.revision.era);
+        for object in update.changes.iter().filter_map(|change| change.object.as_ref()) {
+            self.adopt(object, update.confirmed_until, update.revision.era);
         }
-        if !news.is_snapshot {
-            self.context.timer.wait(GATHER_PAUSE).await;
+        if !update.is_snapshot {
+            self.context.timer.wait(BATCH_DELAY).await;
         }
         Ok(())
     }
--- a/crates/hollyhook_gateway/src/store/store_client.rs
+++ b/crates/hollyhook_gateway/src/store/store_client.rs
@@ -13,31 +13,33 @@
 use crate::net::{ExchangeError, PersistentClient, build_request};
 use crate::peer::FeedBoard;
 
-/// How long a call about hosts may take; nobody waits for it.
+/// Timeout of calls that list hosts or write this host's own objects. No request waits for these calls.
 const HOST_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Why a call to the store gave nothing.
+/// Why a call to the store failed.
 #[derive(Debug)]
 pub(crate) enum StoreError {
-    /// No answer, or one that says that nothing was done.
-    Away(&'static str),
-    /// The history that a watch asks for is gone: list again.
+    /// The store sent no usable response, or one which states that the call had no effect.
+    Unavailable(&'static str),
+    /// A watch or the next page of a list can't continue from its revision; all objects have to be listed again.
     HistoryGone,
-    /// Too many calls.
+    /// The store rejected the call because it received too many (HTTP status 429).
     Throttled,
-    /// The object to be created exists, or the one to be changed has changed.
-    Exists,
-    /// The answer can't be understood.
+    /// The object to be created exists already, or the object to be replaced was changed since it was read.
+    Conflict,
+    /// The response could not be decoded.
     Malformed(StoreFault),
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Away(why) => write!(f, "the store is away: {why}"),
-            Self::HistoryGone => f.write_str("the history after the watched revision is gone"),
-            Self::Throttled => f.write_str("the store takes no more calls for now"),
-            Self::Exists => f.write_str("the object exists, or is another one now"),
+            Self::Unavailable(reason) => write!(f, "call to the store failed: {reason}"),
+            Self::HistoryGone => {
+                f.write_str("the store has no changes after the requested revision; listing all objects again")
+            }
+            Self::Throttled => f.write_str("the store rejected the call because of its rate limit (HTTP status 429)"),
+            Self::Conflict => f.write_str("the object exists already, or was changed since it was read"),
             Self::Malformed(fault) => fault.fmt(f),
         }
     }
@@ -45,68 +47,74 @@
 
 impl From<ExchangeError> for StoreError {
     fn from(fault: ExchangeError) -> Self {
-        Self::Away(fault.0)
+        Self::Unavailable(fault.0)
     }
 }
 
-/// Calls the platform's store over one kept connection.
+/// Client of the platform's store; sends one call after another over one persistent connection.
 pub(crate) struct StoreClient {
     client: PersistentClient,
-    /// Where the eras of the store are known that others heard of.
+    /// Tracks the newest era of the store that this host has seen, in answers of the store or of other hosts.
     feed: Arc<FeedBoard>,
-    /// Where the store is now.
+    /// Returns the store's current address, which a reload of the settings may change.
     address: Box<dyn Fn() -> SocketAddr + Send + Sync>,
-    /// The store whose revisions the last list gave.
-    listed_at: Option<SocketAddr>,
+    /// Address of the store at which the last list began; revisions of a store at another address don't compare.
+    listed_address: Option<SocketAddr>,
 }
 
 impl StoreClient {
-    /// How long a call about what hosts note may take.
-    pub(crate) const NOTE_TIMEOUT: Duration = Duration::from_millis(700);
+    /// Timeout of calls that read or write what hosts share: crash records, trial reports and roll-out states.
+    pub(crate) const SHARED_RECORD_TIMEOUT: Duration = Duration::from_millis(700);
 
     pub(crate) fn new(context: &Arc<GatewayContext>) -> Self {
-        let of_address = Arc::clone(context);
+        let address_context = Arc::clone(context);
         Self {
             client: PersistentClient::new(TimerService::clone(&context.timer)),
             feed: Arc::clone(&context.feed),
-            address: Box::new(move || of_address.store_address()),
-            listed_at: None,
+            address: Box::new(move || address_context.store_address()),
+            listed_address: None,
         }
     }
 
-    /// All objects of a kind, and the revision to watch from; each page within `limit`.
+    /// Lists all objects of a kind, and returns them with the revision to watch from.
+    ///
+    /// # Errors
+    ///
+    /// `HistoryGone` if the store was restored from an older copy between two pages; otherwise why a page was not read
+    /// within `timeout`, which applies to each page.
     pub(crate) async fn list(
         &mut self,
         kind: ObjectKind,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(Vec<StoreObject>, StoreRevision), StoreError> {
-        self.listed_at = Some((self.address)());
-        self.pages(|after| hollyhook_platform::list_path(kind, after), limit).await
+        self.listed_address = Some((self.address)());
+        self.read_pages(|after| hollyhook_platform::list_path(kind, after), timeout).await
     }
 
-    /// One page of the objects of a kind, from after a name, and the era that it is of.
+    /// Reads the page of objects of a kind that follow the name `after`, and returns it with the store's era.
     ///
     /// # Errors
     ///
-    /// Why there was no answer, within `limit`.
+    /// `HistoryGone` if the store's address changed since the first page; otherwise why the page was not read within
+    /// `timeout`.
     pub(crate) async fn list_page(
         &mut self,
         kind: ObjectKind,
         after: Option<&str>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(u64, StorePage), StoreError> {
         let address = (self.address)();
         if after.is_none() {
-            self.listed_at = Some(address);
-        } else if self.listed_at != Some(address) {
-            // The store has moved; pages of two of them are no list.
+            self.listed_address = Some(address);
+        } else if self.listed_address != Some(address) {
+            // The store's address changed since the first page; pages of two stores don't form one list.
             return Err(StoreError::HistoryGone);
         }
-        self.page(&hollyhook_platform::list_path(kind, after), limit).await
+        self.read_page(&hollyhook_platform::list_path(kind, after), timeout).await
     }
 
-    async fn page(&mut self, path: &str, limit: Duration) -> Result<(u64, StorePage), StoreError> {
-        let (era, body) = self.call(Method::GET, path, Bytes::new(), limit).await?;
+    async fn read_page(&mut self, path: &str, timeout: Duration) -> Result<(u64, StorePage), StoreError> {
+        let (era, body) = self.call(Method::GET, path, Bytes::new(), timeout).await?;
         let page: StorePage = hollyhook_platform::decode_page(&body).map_err(StoreError::Malformed)?;
         if page.nameless > 0 {
             tracing::error!(count = page.nameless, "store.objects_nameless");
@@ -114,29 +122,29 @@
         Ok((era, page))
     }
 
-    /// The hosts of an availability zone as they were registered some seconds ago.
+    /// Lists the registered hosts of an availability zone; the list may be some seconds old.
     pub(crate) async fn list_hosts(&mut self, zone: &str) -> Result<Vec<StoreObject>, StoreError> {
         let (objects, _revision) =
-            self.pages(|after| hollyhook_platform::host_list_path(zone, after), HOST_TIMEOUT).await?;
+            self.read_pages(|after| hollyhook_platform::host_list_path(zone, after), HOST_TIMEOUT).await?;
         Ok(objects)
     }
 
-    async fn pages(
+    async fn read_pages(
         &mut self,
         path: impl Fn(Option<&str>) -> String,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(Vec<StoreObject>, StoreRevision), StoreError> {
         let mut objects = Vec::new();
         let mut first_revision = None;
         let mut after = None;
         loop {
-            let (era, page) = self.page(&path(after.as_deref()), limit).await?;
+            let (era, page) = self.read_page(&path(after.as_deref()), timeout).await?;
             objects.extend(page.objects);
-            // Changes between two pages are seen again by a watch from the first page's revision.
-            let read_at = StoreRevision::new(era, page.revision);
-            let revision = *first_revision.get_or_insert(read_at);
+            // A watch from the first page's revision also returns the changes made while later pages were read.
+            let page_revision = StoreRevision::new(era, page.revision);
+            let revision = *first_revision.get_or_insert(page_revision);
             if revision.era != era {
-                // The store came back from a copy between two pages; together they are the list of no moment.
+                // The store was restored from an older copy between two pages, which therefore don't form one list.
                 return Err(StoreError::HistoryGone);
             }
             match page.next_after {
@@ -146,67 +154,73 @@
         }
     }
 
-    /// Waits up to `wait` for changes of a kind after a revision; the answer has to come within `limit`.
+    /// Waits up to `wait` for changes of a kind after a revision, and returns them with the revision to watch from
+    /// next.
+    ///
+    /// # Errors
+    ///
+    /// `HistoryGone` if the revision is of another store or era, or the store no longer has all changes after it;
+    /// otherwise why no answer was read within `timeout`.
     pub(crate) async fn watch(
         &mut self,
         kind: ObjectKind,
         revision: StoreRevision,
         wait: Duration,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(Vec<StoreChange>, StoreRevision), StoreError> {
-        if self.listed_at != Some((self.address)()) {
-            // The store has moved; the revisions of another one mean nothing there.
+        if self.listed_address != Some((self.address)()) {
+            // The store's address changed since the list; a revision of one store means nothing to another.
             return Err(StoreError::HistoryGone);
         }
         if self.feed.era() != revision.era {
             return Err(StoreError::HistoryGone);
         }
         let path = hollyhook_platform::watch_path(kind, revision.number, wait);
-        let (era, body) = self.call(Method::GET, &path, Bytes::new(), limit).await?;
+        let (era, body) = self.call(Method::GET, &path, Bytes::new(), timeout).await?;
         if era != revision.era {
-            // Since it came back from a copy, what it counts from this revision on is not what has changed.
+            // The store was restored from an older copy: its changes after this revision are not all that changed.
             return Err(StoreError::HistoryGone);
         }
         let (changes, number) = hollyhook_platform::decode_change(&body).map_err(StoreError::Malformed)?;
         Ok((changes, StoreRevision::new(era, number)))
     }
 
-    /// Writes this host's entry, whether there is one or not.
-    pub(crate) async fn register_host(&mut self, member: &HostRecord) -> Result<(), StoreError> {
-        let body = hollyhook_platform::encode_host(member).map_err(StoreError::Malformed)?;
-        let create = hollyhook_platform::host_create_path(&member.zone);
-        let replace = hollyhook_platform::host_path(&member.zone, &member.host);
-        self.write_own(&create, &replace, Bytes::from(body)).await
+    /// Creates or replaces this host's entry in the list of hosts.
+    pub(crate) async fn register_host(&mut self, record: &HostRecord) -> Result<(), StoreError> {
+        let body = hollyhook_platform::encode_host(record).map_err(StoreError::Malformed)?;
+        let create = hollyhook_platform::host_create_path(&record.zone);
+        let replace = hollyhook_platform::host_path(&record.zone, &record.host);
+        self.create_or_replace(&create, &replace, Bytes::from(body)).await
     }
 
-    /// Writes what this host saw of versions on trial, whether there is an object for it or not.
+    /// Creates or replaces the object with this host's reports on versions on trial.
     pub(crate) async fn write_trials(&mut self, host: &Name, reports: &[TrialReport]) -> Result<(), StoreError> {
         let body = hollyhook_platform::encode_trials(host, reports).map_err(StoreError::Malformed)?;
         let create = hollyhook_platform::create_path(ObjectKind::Trial);
         let replace = hollyhook_platform::object_path(ObjectKind::Trial, host);
-        self.write_own(create, &replace, Bytes::from(body)).await
+        self.create_or_replace(create, &replace, Bytes::from(body)).await
     }
 
-    /// Creates an object that no other host writes, or replaces it.
-    async fn write_own(&mut self, create: &str, replace: &str, body: Bytes) -> Result<(), StoreError> {
+    /// Creates an object, or replaces it unconditionally if it exists, since no other host writes it.
+    async fn create_or_replace(&mut self, create: &str, replace: &str, body: Bytes) -> Result<(), StoreError> {
         match self.call(Method::POST, create, body.clone(), HOST_TIMEOUT).await {
-            Err(StoreError::Exists) => self.call(Method::PUT, replace, body, HOST_TIMEOUT).await.map(|_answer| ()),
+            Err(StoreError::Conflict) => self.call(Method::PUT, replace, body, HOST_TIMEOUT).await.map(|_answer| ()),
             outcome => outcome.map(|_answer| ()),
         }
     }
 
-    /// One object.
-    pub(crate) async fn read(&mut self, kind: ObjectKind, name: &str) -> Result<StoreObject, StoreError> {
+    /// Reads one object by its name.
+    pub(crate) async fn read_object(&mut self, kind: ObjectKind, name: &str) -> Result<StoreObject, StoreError> {
         let path = hollyhook_platform::object_path(kind, name);
-        let (_era, body) = self.call(Method::GET, &path, Bytes::new(), Self::NOTE_TIMEOUT).await?;
+        let (_era, body) = self.call(Method::GET, &path, Bytes::new(), Self::SHARED_RECORD_TIMEOUT).await?;
         hollyhook_platform::decode_object(&body).map_err(StoreError::Malformed)
     }
 
-    /// Writes what was noted of requests that end endpoints at an endpoint's entry.
+    /// Writes the crash records of requests into the status of an endpoint's entry.
     ///
     /// # Errors
     ///
-    /// `Exists` if the entry has changed since it was read.
+    /// `Conflict` if the entry was changed since it was read; otherwise why the call failed.
     pub(crate) async fn write_crashes(
         &mut self,
         entry: &StoreObject,
@@ -214,14 +228,14 @@
     ) -> Result<(), StoreError> {
         let body = hollyhook_platform::encode_crashes(entry, records).map_err(StoreError::Malformed)?;
         let path = hollyhook_platform::status_path(ObjectKind::Endpoint, &entry.name);
-        self.call(Method::PUT, &path, Bytes::from(body), Self::NOTE_TIMEOUT).await.map(|_answer| ())
+        self.call(Method::PUT, &path, Bytes::from(body), Self::SHARED_RECORD_TIMEOUT).await.map(|_answer| ())
     }
 
-    /// Writes how far a roll-out is.
+    /// Writes the state of a roll-out into the status of its order.
     ///
     /// # Errors
     ///
-    /// `Exists` if the order, or what stands there of it, has changed since it was read.
+    /// `Conflict` if the order or its status was changed since it was read; otherwise why the call failed.
     pub(crate) async fn write_rollout(
         &mut self,
         object: &StoreObject,
@@ -230,44 +244,49 @@
     ) -> Result<(), StoreError> {
         let body = hollyhook_platform::encode_status(object, order, status).map_err(StoreError::Malformed)?;
         let path = hollyhook_platform::status_path(ObjectKind::Rollout, &object.name);
-        self.call(Method::PUT, &path, Bytes::from(body), Self::NOTE_TIMEOUT).await.map(|_answer| ())
+        self.call(Method::PUT, &path, Bytes::from(body), Self::SHARED_RECORD_TIMEOUT).await.map(|_answer| ())
     }
 
-    /// One call; the era that its answer is of, and its body.
+    /// Sends one call, and returns the era and the body of a successful response.
     async fn call(
         &mut self,
         method: Method,
         path: &str,
         body: Bytes,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(u64, Bytes), StoreError> {
         let address = (self.address)();
         let request = build_request(method, address, path, body)?;
-        let response = self.client.call(address, request, limit).await?;
-        let era = self.judge_era(&response)?;
+        let response = self.client.call(address, request, timeout).await?;
+        let era = self.check_era(&response)?;
         match response.status() {
             StatusCode::OK | StatusCode::CREATED => Ok((era, response.into_body())),
             StatusCode::GONE => Err(StoreError::HistoryGone),
-            StatusCode::CONFLICT => Err(StoreError::Exists),
+            StatusCode::CONFLICT => Err(StoreError::Conflict),
             StatusCode::TOO_MANY_REQUESTS => Err(StoreError::Throttled),
-            _ => Err(StoreError::Away("it turned the call away")),
+            _ => Err(StoreError::Unavailable("unexpected HTTP status")),
         }
     }
 
-    /// The era of an answer, if it may be believed.
-    fn judge_era(&self, response: &Response<Bytes>) -> Result<u64, StoreError> {
-        let told = hollyhook_platform::store_era(response.headers()).map_err(StoreError::Malformed)?;
+    /// Returns the era that a response states, zero if none, and records an era newer than any seen before.
+    ///
+    /// # Errors
+    ///
+    /// `Unavailable` if a successful response states an older era than the newest one seen, or none although one was
+    /// seen; an error response is not used beyond its status, and passes.
+    fn check_era(&self, response: &Response<Bytes>) -> Result<u64, StoreError> {
+        let stated = hollyhook_platform::store_era(response.headers()).map_err(StoreError::Malformed)?;
         let before = self.feed.era();
-        match self.feed.judge_era(told) {
+        match self.feed.judge_era(stated) {
             EraVerdict::Same => {}
-            EraVerdict::Newer => tracing::info!(before, era = told, "store.era"),
+            EraVerdict::Newer => tracing::info!(before, era = stated, "store.era"),
             EraVerdict::Older | EraVerdict::Missing if !response.status().is_success() => {}
             EraVerdict::Older | EraVerdict::Missing => {
-                tracing::error!(newest = before, era = told, "store.era_wrong");
-                return Err(StoreError::Away("its answer is of another era than it told before"));
+                tracing::error!(newest = before, era = stated, "store.era_wrong");
+                return Err(StoreError::Unavailable("the response states an older era than seen before, or none"));
             }
         }
-        Ok(told.unwrap_or_default())
+        Ok(stated.unwrap_or_default())
     }
 }
 
