--- a/crates/hollyhook_gateway/src/store/endpoint_watch.rs
+++ b/crates/hollyhook_gateway/src/store/endpoint_watch.rs
@@ -20,7 +20,7 @@
 /// Lower bound of that delay.
 const MIN_BATCH_DELAY: Duration = Duration::from_millis(400);
 /// The delay at a follower, which calls another host and costs the store nothing. Engines that crash together return
-/// after about a second under new names; until a follower learns of them, each rejects its requests.
+/// after about a second under new names; until a follower learns the new names, each engine rejects its requests.
 const FOLLOWER_BATCH_DELAY: Duration = Duration::from_millis(400);
 /// Upper bound of that delay, as a fraction of the time within which this host must stop sending requests to a leaving
 /// endpoint.
@@ -32,7 +32,7 @@
     context: Arc<GatewayContext>,
     reader: FeedReader,
     membership: Arc<Mutex<EndpointMembership>>,
-    /// Start of the last grace period, which began when the store answered again after an outage.
+    /// Start of the last grace period for missing entries, after an outage of the store.
     grace_start: Option<TimePoint>,
     /// Revision of the first update of the store's current era.
     era_start: StoreRevision,
@@ -45,11 +45,9 @@
 
 impl EndpointWatch {
     pub(crate) fn new(context: Arc<GatewayContext>) -> Self {
-        let (list_context, mut applied) = (Arc::clone(&context), 0);
-        let reader =
-            FeedReader::new(Arc::clone(&context), ObjectKind::Endpoint, WATCH_WAIT).page_callback(move |objects| {
-                applied += apply_partial_list(&list_context, objects.get(applied..).unwrap_or_default())
-            });
+        let (shared, mut applied) = (Arc::clone(&context), 0);
+        let reader = FeedReader::new(Arc::clone(&context), ObjectKind::Endpoint, WATCH_WAIT)
+            .page_callback(move |objects| applied += apply_pages(&shared, objects.get(applied..).unwrap_or_default()));
         Self {
             context,
             reader,
@@ -72,7 +70,7 @@
         }
     }
 
-    /// The delay before the next request for updates after changes.
+    /// The delay after an update with changes before the next update is requested.
     fn batch_delay(&self) -> Duration {
         match self.reader.plan() {
             FeedPlan::Lead => return self.context.feed_timing().leader_batch_delay(),
@@ -172,7 +170,7 @@
         task::spawn(remove_after_grace(Arc::clone(&self.context), Arc::clone(&self.membership), at));
     }
 
-    /// Removes all entries that a snapshot does not list.
+    /// Marks all known entries as missing that a snapshot does not list.
     fn remove_missing(&mut self, update: &FeedUpdate<StoreObject>) {
         let present: BTreeSet<&Name> = update.changes.iter().map(|change| &change.name).collect();
         let known: BTreeSet<Name> =
@@ -226,7 +224,7 @@
 /// Hundreds of hosts that start at once read thousands of entries over the store's one link, which takes seconds;
 /// callers need one endpoint, not all. Malformed entries are logged when the list is complete. Returns the number of
 /// objects processed: zero before the configuration is known, because entries are checked against its services.
-fn apply_partial_list(context: &GatewayContext, objects: &[StoreObject]) -> usize {
+fn apply_pages(context: &GatewayContext, objects: &[StoreObject]) -> usize {
     let Some(site) = context.site() else {
         return 0;
     };
--- a/crates/hollyhook_gateway/src/store/feed_reader.rs
+++ b/crates/hollyhook_gateway/src/store/feed_reader.rs
@@ -44,7 +44,7 @@
     lost_at: Option<TimePoint>,
     /// A list that a failed call for a page interrupted.
     pub(super) partial_list: Option<PartialList>,
-    /// Called after each page of the first list.
+    /// Called after each page of the first list but the last.
     pub(super) page_callback: Option<PageCallback>,
     /// Whether the last update came from a helper, a host that is asked when the store does not answer.
     is_from_helper: bool,
@@ -300,19 +300,19 @@
         usual_wait: Duration,
     ) -> Result<FeedUpdate<StoreObject>, StoreError> {
         let wait = self.contact.watch_wait(started_at, usual_wait, self.context.contact_bound());
-        let limit = self.contact.watch_timeout(wait);
-        let (changes, revision) = self.client.watch(self.kind, revision, wait, limit).await?;
-        let is_quiet = changes.is_empty();
+        let timeout = self.contact.watch_timeout(wait);
+        let (changes, revision) = self.client.watch(self.kind, revision, wait, timeout).await?;
+        let is_unchanged = changes.is_empty();
         // A watch that returned no changes waited its full time, and there were none until its end.
         let waited_until = (started_at + wait).min(self.context.timer.now());
-        let confirmed_until = if is_quiet { waited_until } else { started_at };
-        let changes = changes.into_iter().map(|known| change(self.kind, known)).collect();
+        let confirmed_until = if is_unchanged { waited_until } else { started_at };
+        let changes = changes.into_iter().map(|change| feed_change(self.kind, change)).collect();
         Ok(FeedUpdate { is_snapshot: false, changes, revision, confirmed_until, grace_start: None, hops: 0 })
     }
 }
 
 /// Converts a change read from the store; an object that is being deleted counts as removed.
-fn change(kind: ObjectKind, change: StoreChange) -> FeedChange<StoreObject> {
+fn feed_change(kind: ObjectKind, change: StoreChange) -> FeedChange<StoreObject> {
     let name = Name::clone(&change.object.name);
     let is_gone = change.is_gone || change.object.is_deleting;
     FeedChange { name, object: (!is_gone).then(|| strip(kind, change.object)) }
--- a/crates/hollyhook_gateway/src/store/list_reading.rs
+++ b/crates/hollyhook_gateway/src/store/list_reading.rs
@@ -34,7 +34,7 @@
         let partial_list =
             self.partial_list.take().filter(|list| started_at.since(list.started_at) < PARTIAL_LIST_LIFETIME);
         let mut list = partial_list.unwrap_or_else(|| PartialList::new(started_at));
-        let limit = self.contact.call_timeout();
+        let timeout = self.contact.call_timeout();
         // If many hosts start at once, the first pages that all of them read would delay the host that reads the list
         // for the others.
         let mut has_asked_source = list.after.is_none() && self.has_relays().await;
@@ -42,7 +42,7 @@
             return Ok(update);
         }
         loop {
-            let (era, mut page) = match self.client.list_page(self.kind, list.after.as_deref(), limit).await {
+            let (era, mut page) = match self.client.list_page(self.kind, list.after.as_deref(), timeout).await {
                 Ok(answer) => answer,
                 Err(error) => {
                     self.partial_list =
@@ -95,8 +95,8 @@
     /// Fetches all endpoints from this host's best source; `None` if this host has no source or the source can't
     /// answer.
     ///
-    /// If hundreds of hosts read thousands of entries each, as after a power failure of the whole site, the store's
-    /// one link is busy for minutes, and each page is a call.
+    /// Without a source, hundreds of hosts that read thousands of entries each, as after a power failure of the whole
+    /// site, would keep the store's one link busy for minutes, with a call for each page.
     async fn fetch_list_from_source(&mut self) -> Option<FeedUpdate<StoreObject>> {
         if self.kind != ObjectKind::Endpoint {
             return None;
--- a/crates/hollyhook_gateway/src/store/rollout_watch.rs
+++ b/crates/hollyhook_gateway/src/store/rollout_watch.rs
@@ -9,16 +9,16 @@
 use super::{StoreClient, StoreError, is_reader};
 use crate::gateway::GatewayContext;
 
-/// How long a watch waits while no roll-out is active; a change of any order ends it at once.
+/// How long a watch waits for changes while no roll-out is active; a change of any order ends it at once.
 const IDLE_WAIT: Duration = Duration::from_secs(25);
-/// How long a watch waits while a version is on trial. A host whose connection to the store died may send requests to
-/// that version for so long.
+/// How long a watch waits while a roll-out is active or an order is malformed. A host whose connection to the store
+/// died may send requests to a version on trial for so long.
 const ACTIVE_WAIT: Duration = Duration::from_millis(1_200);
 /// Time that a call may take beyond its wait.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// How often a host that does not need the orders checks whether it does.
+/// Interval at which a host that does not need the orders checks again whether it does.
 const IDLE_CHECK: Duration = Duration::from_secs(5);
-/// How often it checks while the other hosts are being listed for the first time.
+/// The interval of that check while the other hosts are being listed for the first time.
 const LISTING_CHECK: Duration = Duration::from_millis(500);
 /// Delay after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
--- a/crates/hollyhook_gateway/src/store/rollout_worker.rs
+++ b/crates/hollyhook_gateway/src/store/rollout_worker.rs
@@ -22,7 +22,7 @@
     context: Arc<GatewayContext>,
     client: StoreClient,
     /// The reports of this host that were last written.
-    written: Vec<TrialReport>,
+    written_reports: Vec<TrialReport>,
 }
 
 impl RolloutWorker {
@@ -30,7 +30,7 @@
     pub(crate) fn spawn_if_needed(context: &Arc<GatewayContext>) {
         if context.rollouts.begin_work() {
             let client = StoreClient::new(context);
-            task::spawn(Self { context: Arc::clone(context), client, written: Vec::new() }.run());
+            task::spawn(Self { context: Arc::clone(context), client, written_reports: Vec::new() }.run());
         }
     }
 
@@ -62,11 +62,11 @@
     /// Writes this host's reports if they changed since the last write.
     async fn write_reports(&mut self) -> Result<(), StoreError> {
         let reports = self.context.rollouts.reports();
-        if reports == self.written {
+        if reports == self.written_reports {
             return Ok(());
         }
         self.client.write_trials(&self.context.host, &reports).await?;
-        self.written = reports;
+        self.written_reports = reports;
         Ok(())
     }
 
--- a/crates/hollyhook_gateway/src/store/store_client.rs
+++ b/crates/hollyhook_gateway/src/store/store_client.rs
@@ -35,9 +35,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unavailable(reason) => write!(f, "call to the store failed: {reason}"),
-            Self::HistoryGone => {
-                f.write_str("the store has no changes after the requested revision; listing all objects again")
-            }
+            Self::HistoryGone => f.write_str("can't continue from the requested revision; listing all objects again"),
             Self::Throttled => f.write_str("the store rejected the call because of its rate limit (HTTP status 429)"),
             Self::Conflict => f.write_str("the object exists already, or was changed since it was read"),
             Self::Malformed(fault) => fault.fmt(f),
@@ -63,7 +61,7 @@
 }
 
 impl StoreClient {
-    /// Timeout of calls that read or write what hosts share: crash records, trial reports and roll-out states.
+    /// Timeout of calls that read and write crash records, write roll-out states, or list trial reports.
     pub(crate) const SHARED_RECORD_TIMEOUT: Duration = Duration::from_millis(700);
 
     pub(crate) fn new(context: &Arc<GatewayContext>) -> Self {
