--- a/crates/hollyhook_core/src/route/route_query.rs
+++ b/crates/hollyhook_core/src/route/route_query.rs
@@ -62,8 +62,8 @@
 
     /// Requires endpoints of versions that a rule allows.
     #[must_use]
-    pub fn versions(mut self, rule: &'a VersionFilter) -> Self {
-        self.versions = Some(rule);
+    pub fn versions(mut self, filter: &'a VersionFilter) -> Self {
+        self.versions = Some(filter);
         self
     }
 
@@ -98,7 +98,7 @@
         let is_served = &*record.service == self.service;
         let is_bound = self.binding.is_none_or(|binding| record.binding.as_ref() == Some(binding));
         let is_zone_allowed = self.avoid_zone.is_none_or(|zone| record.zone != *zone);
-        let is_version_allowed = self.versions.is_none_or(|rule| rule.allows(&record.id, &record.version));
+        let is_version_allowed = self.versions.is_none_or(|filter| filter.allows(&record.id, &record.version));
         is_served
             && is_bound
             && is_zone_allowed
--- a/crates/hollyhook_gateway/src/forward/attempt.rs
+++ b/crates/hollyhook_gateway/src/forward/attempt.rs
@@ -153,7 +153,7 @@
     hollyhook_platform::set_attempt_headers(request.headers_mut(), headers);
     let response = send(context, target, request).await?;
     if response.head.is_from(&target.entry) && response.head.terms.rate_limit.is_none() {
-        context.endpoints.note_unlimited(&target.id, response.sent_at);
+        context.endpoints.end_rate_limit(&target.id, response.sent_at);
     }
     Ok(response)
 }
@@ -179,7 +179,7 @@
                 let (parts, body) = response.into_parts();
                 let head = hollyhook_platform::answer_head(&parts);
                 if head.is_from(&target.entry) {
-                    context.endpoints.note_terms(&target.id, head.terms);
+                    context.endpoints.apply_terms(&target.id, head.terms);
                 }
                 return Ok(OpenResponse { head, parts, body, connection, sent_at });
             }
--- a/crates/hollyhook_gateway/src/forward/attempt_times.rs
+++ b/crates/hollyhook_gateway/src/forward/attempt_times.rs
@@ -31,7 +31,7 @@
     if !is_evidence {
         return;
     }
-    context.rollouts.note_answer(&VersionAnswer {
+    context.rollouts.record_answer(&VersionAnswer {
         service: &caller.service,
         route: &caller.route.name,
         endpoint: &target.id,
--- a/crates/hollyhook_gateway/src/forward/backup_replicator.rs
+++ b/crates/hollyhook_gateway/src/forward/backup_replicator.rs
@@ -124,8 +124,8 @@
 
     async fn check(&mut self) {
         let location = lock(&self.state).location.clone();
-        let rule = self.context.rollouts.rule(&self.caller.service, false).unwrap_or_default();
-        let chooser = EngineChooser { context: &self.context, caller: &self.caller, tried: &[], versions: &rule };
+        let filter = self.context.rollouts.version_filter(&self.caller.service, false).unwrap_or_default();
+        let chooser = EngineChooser { context: &self.context, caller: &self.caller, tried: &[], versions: &filter };
         let target = location
             .as_ref()
             .and_then(|location| chooser.usable_backup(location))
--- a/crates/hollyhook_gateway/src/forward/endpoint_probe.rs
+++ b/crates/hollyhook_gateway/src/forward/endpoint_probe.rs
@@ -34,7 +34,7 @@
 pub(super) async fn probe_all(context: &GatewayContext, shortlist: Vec<EndpointRecord>) -> Vec<EngineCandidate> {
     let candidates = probe_each(context, shortlist, PLACEMENT_TIMEOUT).await;
     for candidate in candidates.iter().filter(|candidate| candidate.report.is_none()) {
-        context.endpoints.note_outcome(&candidate.record.id, Some(AttemptFailure::NotConnected));
+        context.endpoints.record_outcome(&candidate.record.id, Some(AttemptFailure::NotConnected));
     }
     candidates
 }
@@ -91,10 +91,10 @@
     let body = fetch_path(context, target, hollyhook_platform::report_path(), limit).await?;
     let report = hollyhook_platform::decode_report(&body).ok()?;
     if report.is_leaving {
-        context.endpoints.note_leaving(&target.id);
+        context.endpoints.record_leaving(&target.id);
     }
     // A report of a later start says nothing about the incarnation that was probed.
-    (!context.endpoints.note_start(&target.id, report.started)).then_some(report)
+    (!context.endpoints.record_restart(&target.id, report.started)).then_some(report)
 }
 
 /// Fetches the body at one of an engine's own paths; `None` if the engine does not respond in time or responds with an
--- a/crates/hollyhook_gateway/src/forward/engine_choice.rs
+++ b/crates/hollyhook_gateway/src/forward/engine_choice.rs
@@ -15,7 +15,7 @@
 use super::attempt::{EndpointSlot, EndpointTarget};
 use super::endpoint_probe::{probe_all, probe_holdings, probe_quickly};
 use crate::front::CallerRequest;
-use crate::gateway::{EndpointLack, GatewayContext};
+use crate::gateway::{GatewayContext, RoutingFailure};
 
 /// Number of engines probed before a generation is placed. Probing two is nearly as good as probing all: the second
 /// choice removes most of the waiting behind other prompts, a third removes little more.
@@ -70,7 +70,7 @@
     /// # Errors
     ///
     /// Why no attempt can be made, and how long this is expected to last.
-    pub(super) async fn choose(&self, resume_from: Option<BackupLocation>) -> Result<EngineChoice, EndpointLack> {
+    pub(super) async fn choose(&self, resume_from: Option<BackupLocation>) -> Result<EngineChoice, RoutingFailure> {
         if self.caller.engine.is_none() {
             return self.choose_any();
         }
@@ -97,14 +97,14 @@
     /// When an engine crashes, all its requests are placed again at the same moment. If all were placed by the same
     /// reports, harmless requests would follow the one that caused the crash from engine to engine and be suspected as
     /// well.
-    fn choose_any(&self) -> Result<EngineChoice, EndpointLack> {
+    fn choose_any(&self) -> Result<EngineChoice, RoutingFailure> {
         let slot = self.reserve_any_slot()?;
         Ok(EngineChoice { slot, from: None, backup: None, prompt_at: None })
     }
 
-    fn reserve_any_slot(&self) -> Result<EndpointSlot, EndpointLack> {
+    fn reserve_any_slot(&self) -> Result<EndpointSlot, RoutingFailure> {
         let query = self.query();
-        EndpointSlot::reserve_any(self.context, &query).ok_or_else(|| self.context.endpoints.lack(&query))
+        EndpointSlot::reserve_any(self.context, &query).ok_or_else(|| self.context.endpoints.routing_failure(&query))
     }
 
     /// Chooses an engine for a caller that comes back with a cursor; `None` if no engine is found that still holds the
@@ -148,7 +148,7 @@
         candidates
     }
 
-    async fn choose_new(&self) -> Result<EngineChoice, EndpointLack> {
+    async fn choose_new(&self) -> Result<EngineChoice, RoutingFailure> {
         let first = self.context.endpoints.shortlist(&self.query(), self.rendezvous_key(), PROBED_ENGINES);
         let second = first.first().map(|record| self.list_other_zones(record)).unwrap_or_default();
         let (mut probed, other_zones) = self.probe_in_order(first, second).await;
@@ -198,7 +198,7 @@
     /// Sheds a request that even the best probed engine would not finish in time.
     ///
     /// Applies only to generations that have not begun: how much is left of one that resumes is not known.
-    fn check_wait(&self, candidate: &EngineCandidate) -> Result<(), EndpointLack> {
+    fn check_wait(&self, candidate: &EngineCandidate) -> Result<(), RoutingFailure> {
         if !self.tried.is_empty() || self.caller.head.cursor.is_some() {
             return Ok(());
         }
@@ -206,7 +206,7 @@
         let prompt_tokens = self.caller.head.prompt.unwrap_or_default().prompt_tokens;
         let report = candidate.report.as_ref();
         match report.and_then(|report| excess_wait(report, prompt_tokens, time_left)) {
-            Some(excess) => Err(EndpointLack { reason: StopReason::Overloaded, pause: excess }),
+            Some(excess) => Err(RoutingFailure { reason: StopReason::Overloaded, pause: excess }),
             None => Ok(()),
         }
     }
@@ -217,7 +217,7 @@
         let record = self.context.endpoints.table().get(&backup.id).cloned()?;
         let is_fit = record.state == EndpointState::Live
             && !record.is_ejected(now)
-            && self.context.rollouts.may_go_on_at(&record.service, &record.version);
+            && self.context.rollouts.may_continue_at(&record.service, &record.version);
         is_fit.then(|| (record, backup.source.clone()))
     }
 
--- a/crates/hollyhook_gateway/src/forward/event_stream.rs
+++ b/crates/hollyhook_gateway/src/forward/event_stream.rs
@@ -151,7 +151,7 @@
     fn complete(&mut self) {
         self.has_ended = true;
         if let Some(live) = self.live.take() {
-            self.context.endpoints.note_outcome(live.slot.id(), None);
+            self.context.endpoints.record_outcome(live.slot.id(), None);
             let times = live.times(self.context.timer.now());
             record_version_outcome(&self.context, &self.caller, &live.slot.target, None, times);
             live.response.release(&self.context, live.slot.id());
@@ -194,7 +194,7 @@
     }
 
     fn record_failure(&mut self, id: &EndpointId, failure: AttemptFailure) -> Result<()> {
-        self.context.endpoints.note_outcome(id, Some(failure));
+        self.context.endpoints.record_outcome(id, Some(failure));
         request_log::attempt_failed(&self.context, &self.caller, id, failure, self.relay.last());
         self.tried.push(EndpointId::clone(id));
         match end_attempt(&self.context, &self.caller, &mut self.ledger, failure) {
@@ -211,19 +211,20 @@
     async fn ensure_live(&mut self) -> Result<()> {
         while self.live.is_none() && self.plain_response.is_none() {
             let resume_from = self.resume_from.take();
-            let rule = self.context.rollouts.rule(&self.caller.service, self.is_first()).unwrap_or_default();
+            let filter =
+                self.context.rollouts.version_filter(&self.caller.service, self.is_first()).unwrap_or_default();
             let chooser =
-                EngineChooser { context: &self.context, caller: &self.caller, tried: &self.tried, versions: &rule };
+                EngineChooser { context: &self.context, caller: &self.caller, tried: &self.tried, versions: &filter };
             let mut choice = chooser.choose(resume_from).await;
-            if choice.is_err() && rule.only.is_some() {
+            if choice.is_err() && filter.only.is_some() {
                 // A request is not refused because the few endpoints on trial are full: it is placed without the draw
                 // for them.
-                let rule = self.context.rollouts.rule(&self.caller.service, false).unwrap_or_default();
-                choice = EngineChooser { versions: &rule, ..chooser }.choose(None).await;
+                let filter = self.context.rollouts.version_filter(&self.caller.service, false).unwrap_or_default();
+                choice = EngineChooser { versions: &filter, ..chooser }.choose(None).await;
             }
-            let choice = choice.map_err(|lack| {
-                let retry = lack.pause.max(BUSY_RETRY_AFTER);
-                self.ledger.final_error(lack.reason, self.relay.delivered(), retry)
+            let choice = choice.map_err(|failure| {
+                let retry = failure.pause.max(BUSY_RETRY_AFTER);
+                self.ledger.final_error(failure.reason, self.relay.delivered(), retry)
             })?;
             let target = choice.slot.target.clone();
             let sent_at = self.context.timer.now();
@@ -261,7 +262,7 @@
         request_log::attempt_placed(&self.context, &self.caller, &slot, &headers);
         let response = self.await_head(&slot, &headers).await?;
         if let Some(load) = response.head.load {
-            self.context.endpoints.note_load(slot.id(), load);
+            self.context.endpoints.record_load(slot.id(), load);
         }
         match judge_answer(self.caller.route.kind, &self.caller.head.attempt_id, &slot.target.entry, &response.head) {
             AnswerVerdict::Pass if response.parts.status.is_success() => {
--- a/crates/hollyhook_gateway/src/forward/plain_call.rs
+++ b/crates/hollyhook_gateway/src/forward/plain_call.rs
@@ -14,7 +14,7 @@
 use super::crash_check::{check_crash, record_given_up, record_survival};
 use super::request_log::{self, CallTrace};
 use crate::front::{CallerRequest, ResponseBody};
-use crate::gateway::{EndpointLack, GatewayContext};
+use crate::gateway::{GatewayContext, RoutingFailure};
 
 /// Maximum number of attempts that endpoints reject, or that fail to connect, before the caller is told to retry later.
 const MAX_REJECTED: u32 = 3;
@@ -71,7 +71,7 @@
         loop {
             let slot = match self.reserve_slot() {
                 Ok(slot) => slot,
-                Err(lack) => return self.give_up(lack.reason, lack.pause.max(BUSY_RETRY_AFTER)),
+                Err(failure) => return self.give_up(failure.reason, failure.pause.max(BUSY_RETRY_AFTER)),
             };
             self.last = CallTrace { endpoint: Some(EndpointId::clone(slot.id())), known_ms: slot.known_ms };
             let outcome = self.attempt(&slot).await;
@@ -104,12 +104,13 @@
     /// # Errors
     ///
     /// Why no endpoint admits the call.
-    fn reserve_slot(&self) -> std::result::Result<EndpointSlot, EndpointLack> {
-        let rule = self.context.rollouts.rule(&self.caller.service, self.tried.is_empty()).unwrap_or_default();
-        let query = RouteQuery::new(&self.caller.service).avoid(&self.tried).versions(&rule);
+    fn reserve_slot(&self) -> std::result::Result<EndpointSlot, RoutingFailure> {
+        let filter =
+            self.context.rollouts.version_filter(&self.caller.service, self.tried.is_empty()).unwrap_or_default();
+        let query = RouteQuery::new(&self.caller.service).avoid(&self.tried).versions(&filter);
         let kept = self.context.pool.idle_for(Duration::ZERO);
         let query = query.repeatable(self.caller.route.is_retryable()).prefer(&kept);
-        EndpointSlot::reserve_any(self.context, &query).ok_or_else(|| self.context.endpoints.lack(&query))
+        EndpointSlot::reserve_any(self.context, &query).ok_or_else(|| self.context.endpoints.routing_failure(&query))
     }
 
     async fn attempt(&self, slot: &EndpointSlot) -> CallOutcome {
@@ -124,7 +125,7 @@
             CallOutcome::Fallback(_) => Some(AttemptFailure::Failed),
             CallOutcome::Failure(failure) => Some(*failure),
         };
-        self.context.endpoints.note_outcome(slot.id(), failure);
+        self.context.endpoints.record_outcome(slot.id(), failure);
         let took = self.context.timer.now().since(sent_at);
         record_version_outcome(
             self.context,
@@ -157,7 +158,7 @@
             Err(failure) => return CallOutcome::Failure(failure),
         };
         if let Some(load) = response.head.load {
-            self.context.endpoints.note_load(slot.id(), load);
+            self.context.endpoints.record_load(slot.id(), load);
         }
         let verdict = judge_answer(caller.route.kind, &caller.head.attempt_id, &slot.target.entry, &response.head);
         if verdict == AnswerVerdict::Fail(AttemptFailure::Garbled) {
--- a/crates/hollyhook_gateway/src/front/admission.rs
+++ b/crates/hollyhook_gateway/src/front/admission.rs
@@ -56,7 +56,7 @@
         site_version: site.version(),
         arrived,
         deadline,
-        _claim: claim,
+        _reservation: claim,
         _guard: guard,
     })
 }
@@ -108,7 +108,7 @@
 }
 
 fn check_not_stopping(route: &RouteConfig, wait_limit: Duration, context: &GatewayContext) -> Result<()> {
-    if context.is_taking(route.kind, wait_limit) {
+    if context.is_admitted(route.kind, wait_limit) {
         return Ok(());
     }
     let why = "this host is stopping and the request might not end in time";
--- a/crates/hollyhook_gateway/src/front/body_reader.rs
+++ b/crates/hollyhook_gateway/src/front/body_reader.rs
@@ -6,7 +6,7 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 
-use crate::gateway::{BodyClaim, GatewayContext};
+use crate::gateway::{BodyReservation, GatewayContext};
 
 /// Time limit for receiving a body, if the request's deadline is not sooner.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -19,16 +19,16 @@
     max_bytes: usize,
     deadline: TimePoint,
     context: &Arc<GatewayContext>,
-) -> Result<(Bytes, BodyClaim)> {
+) -> Result<(Bytes, BodyReservation)> {
     let limit = deadline.since(context.timer.now()).min(BODY_TIMEOUT);
-    let mut claim = context.load.claim_body();
-    let read = context.timer.within(limit, collect(body, max_bytes, &mut claim)).await;
+    let mut reservation = context.load.reserve_body();
+    let read = context.timer.within(limit, collect(body, max_bytes, &mut reservation)).await;
     let timed_out = || Err(Error::new(ErrorKind::RequestTimeout, "the body did not arrive in time"));
     let bytes = read.unwrap_or_else(timed_out)?;
-    Ok((bytes, claim))
+    Ok((bytes, reservation))
 }
 
-async fn collect(mut body: Incoming, max_bytes: usize, claim: &mut BodyClaim) -> Result<Bytes> {
+async fn collect(mut body: Incoming, max_bytes: usize, reservation: &mut BodyReservation) -> Result<Bytes> {
     if body.size_hint().lower() > max_bytes as u64 {
         return Err(too_large(max_bytes));
     }
@@ -43,7 +43,7 @@
         if bytes.len() + data.len() > max_bytes {
             return Err(too_large(max_bytes));
         }
-        if !claim.grow(data.len()) {
+        if !reservation.grow(data.len()) {
             let why = "requests under way take all memory for bodies";
             return Err(Error::new(ErrorKind::Overloaded, why).retry_after(MEMORY_RETRY));
         }
--- a/crates/hollyhook_gateway/src/front/caller_request.rs
+++ b/crates/hollyhook_gateway/src/front/caller_request.rs
@@ -5,7 +5,7 @@
 use hollyhook_core::{AccountConfig, CallerHead, EngineMemory, Name, RequestDigest, RouteConfig, TimePoint};
 use http::{HeaderMap, Method, Uri};
 
-use crate::gateway::{BodyClaim, RequestGuard};
+use crate::gateway::{BodyReservation, RequestGuard};
 
 /// An admitted request of a caller, with its whole body.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
     pub(crate) arrived: TimePoint,
     /// When the caller's or the route's time limit ends, whichever is sooner.
     pub(crate) deadline: TimePoint,
-    pub(crate) _claim: BodyClaim,
+    pub(crate) _reservation: BodyReservation,
     pub(crate) _guard: RequestGuard,
 }
 
--- a/crates/hollyhook_gateway/src/gateway/endpoint_directory.rs
+++ b/crates/hollyhook_gateway/src/gateway/endpoint_directory.rs
@@ -8,7 +8,7 @@
 use hollyhook_kernel::{ServiceRegistry, TimerService};
 use hollyhook_telemetry::MetricBoard;
 
-use crate::peer::FeedBoard;
+use crate::peer::FeedState;
 use crate::pool::ConnectionPool;
 use crate::sync::lock;
 
@@ -20,7 +20,7 @@
 
 /// Why no endpoint takes a request.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct EndpointLack {
+pub(crate) struct RoutingFailure {
     pub(crate) reason: StopReason,
     /// How long it stays so, as far as that is known; zero if not.
     pub(crate) pause: Duration,
@@ -32,7 +32,7 @@
     timer: Arc<TimerService>,
     pool: Arc<ConnectionPool>,
     board: Arc<MetricBoard>,
-    feed: Arc<FeedBoard>,
+    feed: Arc<FeedState>,
     site: Arc<Mutex<SiteState>>,
     table: Mutex<EndpointTable>,
     /// Until when it is known that nothing else changed; none before the first list.
@@ -56,7 +56,7 @@
             timer: registry.find(TimerService::NAME)?,
             pool: registry.find(ConnectionPool::NAME)?,
             board: registry.find(MetricBoard::NAME)?,
-            feed: registry.find(FeedBoard::NAME)?,
+            feed: registry.find(FeedState::NAME)?,
             site: registry.find(site)?,
             table: Mutex::new(EndpointTable::new(ZoneName::clone(zone)).zone_preference(ZONE_PREFERENCE)),
             confirmed: Mutex::default(),
@@ -101,7 +101,7 @@
         // Of a service that nobody knows, anybody may have written it.
         let displaced = if is_known(&record.service) { table.displaced_by(&record) } else { Vec::new() };
         for id in displaced {
-            self.note_lost(table, &id);
+            self.record_lost(table, &id);
             table.remove(&id);
             self.pool.close_idle(&id);
             tracing::info!(endpoint = %id, by = %record.id, address = %record.address, "endpoint.displaced");
@@ -121,10 +121,10 @@
     }
 
     /// Forgets what registered under a name; `reason` is for the log.
-    pub(crate) fn forget_entry(&self, entry: &str, reason: &'static str) {
+    pub(crate) fn remove_entry(&self, entry: &str, reason: &'static str) {
         let mut table = self.table();
         for id in table.registered_as(entry) {
-            self.note_lost(&table, &id);
+            self.record_lost(&table, &id);
             table.remove(&id);
             self.pool.close_idle(&id);
             self.board.count("endpoints_gone");
@@ -132,7 +132,7 @@
         }
     }
 
-    fn note_lost(&self, table: &EndpointTable, id: &EndpointId) {
+    fn record_lost(&self, table: &EndpointTable, id: &EndpointId) {
         if table.get(id).is_some_and(|record| record.state == EndpointState::Live) {
             lock(&self.lost).push(EndpointId::clone(id));
         }
@@ -145,7 +145,7 @@
 
     /// Takes in when the endpoint started that answers in the place of `id`; tells whether that is a later start, which
     /// replaces this one.
-    pub(crate) fn note_start(&self, id: &EndpointId, started: Option<u64>) -> bool {
+    pub(crate) fn record_restart(&self, id: &EndpointId, started: Option<u64>) -> bool {
         if started.is_none() {
             return false;
         }
@@ -167,7 +167,7 @@
     }
 
     /// Takes in that an endpoint says itself that it leaves; its entry may say so later, or be gone without a word.
-    pub(crate) fn note_leaving(&self, id: &EndpointId) {
+    pub(crate) fn record_leaving(&self, id: &EndpointId) {
         if !self.table().mark_leaving(self.timer.now(), id) {
             return;
         }
@@ -176,9 +176,9 @@
     }
 
     /// Takes in on which terms an endpoint says that it takes requests.
-    pub(crate) fn note_terms(&self, id: &EndpointId, terms: AdvertisedTerms) {
+    pub(crate) fn apply_terms(&self, id: &EndpointId, terms: AdvertisedTerms) {
         if terms.is_leaving {
-            self.note_leaving(id);
+            self.record_leaving(id);
         }
         let now = self.timer.now();
         if let Some(rate) = terms.rate_limit {
@@ -198,7 +198,7 @@
     /// Takes in that an endpoint named no rate limit in its answer to a caller's request, sent at `sent_at`.
     ///
     /// Its answers to this host's own questions name none at any time, and must not end one.
-    pub(crate) fn note_unlimited(&self, id: &EndpointId, sent_at: TimePoint) {
+    pub(crate) fn end_rate_limit(&self, id: &EndpointId, sent_at: TimePoint) {
         if self.table().terms_mut().clear_rate_limit(id, sent_at) {
             tracing::info!(endpoint = %id, "endpoint.unlimited");
         }
@@ -224,13 +224,13 @@
     }
 
     /// Why no endpoint is left for a request.
-    pub(crate) fn lack(&self, query: &RouteQuery<'_>) -> EndpointLack {
+    pub(crate) fn routing_failure(&self, query: &RouteQuery<'_>) -> RoutingFailure {
         match self.table().shortest_pause(self.timer.now(), query) {
             Some(pause) => {
                 self.board.count("requests_held_back");
-                EndpointLack { reason: StopReason::Throttled, pause }
+                RoutingFailure { reason: StopReason::Throttled, pause }
             }
-            None => EndpointLack { reason: StopReason::NoEndpoint, pause: Duration::ZERO },
+            None => RoutingFailure { reason: StopReason::NoEndpoint, pause: Duration::ZERO },
         }
     }
 
@@ -261,12 +261,12 @@
         self.table().try_open(self.timer.now(), id)
     }
 
-    pub(crate) fn note_load(&self, id: &str, load: LoadReport) {
+    pub(crate) fn record_load(&self, id: &str, load: LoadReport) {
         self.table().update_load(id, load);
     }
 
     /// Takes in what became of an attempt.
-    pub(crate) fn note_outcome(&self, id: &EndpointId, failure: Option<AttemptFailure>) {
+    pub(crate) fn record_outcome(&self, id: &EndpointId, failure: Option<AttemptFailure>) {
         self.board.count(failure.map_or("attempts_succeeded", attempt_counter));
         let mut table = self.table();
         match failure {
--- a/crates/hollyhook_gateway/src/gateway/gateway_context.rs
+++ b/crates/hollyhook_gateway/src/gateway/gateway_context.rs
@@ -13,11 +13,11 @@
 
 use super::EndpointDirectory;
 use super::live_settings::LiveSettings;
-use super::quarantine_board::QuarantineBoard;
+use super::quarantine_tracker::QuarantineTracker;
 use super::request_load::RequestLoad;
 use super::retry_budgets::RetryBudgets;
-use super::rollout_board::RolloutBoard;
-use crate::peer::FeedBoard;
+use super::rollout_tracker::RolloutTracker;
+use crate::peer::FeedState;
 use crate::pool::ConnectionPool;
 use crate::sync::lock;
 
@@ -49,10 +49,10 @@
     pub(crate) pool: Arc<ConnectionPool>,
     pub(crate) board: Arc<MetricBoard>,
     pub(crate) load: Arc<RequestLoad>,
-    pub(crate) feed: Arc<FeedBoard>,
+    pub(crate) feed: Arc<FeedState>,
     pub(crate) endpoints: Arc<EndpointDirectory>,
-    pub(crate) quarantine: Arc<QuarantineBoard>,
-    pub(crate) rollouts: Arc<RolloutBoard>,
+    pub(crate) quarantine: Arc<QuarantineTracker>,
+    pub(crate) rollouts: Arc<RolloutTracker>,
     live: Arc<Mutex<LiveSettings>>,
     site: Arc<Mutex<SiteState>>,
     retries: Arc<RetryBudgets>,
@@ -71,16 +71,16 @@
     pub(crate) fn register(registry: &ServiceRegistry, settings: &GatewaySettings) -> Result<()> {
         let timer = registry.register(TimerService::NAME, TimerService::from(WallClock::start()))?;
         registry.register(ConnectionPool::NAME, ConnectionPool::new(TimerService::clone(&timer)))?;
-        let feed = FeedBoard::new(Name::clone(&settings.host), ZoneName::clone(&settings.zone), settings.link_mbps);
-        registry.register(FeedBoard::NAME, feed)?;
+        let feed = FeedState::new(Name::clone(&settings.host), ZoneName::clone(&settings.zone), settings.link_mbps);
+        registry.register(FeedState::NAME, feed)?;
         registry.register(MetricBoard::NAME, MetricBoard::default())?;
         registry.register(RequestLoad::NAME, RequestLoad::new(settings.memory_bytes))?;
         registry.register(Self::SETTINGS, Mutex::new(LiveSettings::from(settings)))?;
         registry.register(Self::SITE, Mutex::new(SiteState::default()))?;
         let endpoints = EndpointDirectory::new(registry, Self::SITE, &settings.zone)?;
         registry.register(EndpointDirectory::NAME, endpoints)?;
-        registry.register(QuarantineBoard::NAME, QuarantineBoard::new(registry)?)?;
-        registry.register(RolloutBoard::NAME, RolloutBoard::new(registry, settings.bounds.exposure)?)?;
+        registry.register(QuarantineTracker::NAME, QuarantineTracker::new(registry)?)?;
+        registry.register(RolloutTracker::NAME, RolloutTracker::new(registry, settings.bounds.exposure)?)?;
         registry.register(RetryBudgets::NAME, RetryBudgets::new(settings.bounds.retry))?;
         Ok(())
     }
@@ -98,12 +98,12 @@
             pool: registry.find(ConnectionPool::NAME)?,
             board: registry.find(MetricBoard::NAME)?,
             load: registry.find(RequestLoad::NAME)?,
-            feed: registry.find(FeedBoard::NAME)?,
+            feed: registry.find(FeedState::NAME)?,
             live: registry.find(Self::SETTINGS)?,
             site: registry.find(Self::SITE)?,
             endpoints: registry.find(EndpointDirectory::NAME)?,
-            quarantine: registry.find(QuarantineBoard::NAME)?,
-            rollouts: registry.find(RolloutBoard::NAME)?,
+            quarantine: registry.find(QuarantineTracker::NAME)?,
+            rollouts: registry.find(RolloutTracker::NAME)?,
             retries: registry.find(RetryBudgets::NAME)?,
             has_endpoints: AtomicBool::new(false),
         })
@@ -111,12 +111,12 @@
 
     pub(crate) fn phase(&self) -> StopPhase {
         let live = lock(&self.live);
-        live.stop_ordered.map_or(StopPhase::Serving, |at| live.stop().phase(self.timer.now().since(at)))
+        live.stop_began_at.map_or(StopPhase::Serving, |at| live.stop_plan().phase(self.timer.now().since(at)))
     }
 
     /// The plan of a stop.
-    pub(crate) fn stop(&self) -> StopPlan {
-        lock(&self.live).stop()
+    pub(crate) fn stop_plan(&self) -> StopPlan {
+        lock(&self.live).stop_plan()
     }
 
     /// How long a leaving endpoint may get new work.
@@ -143,17 +143,17 @@
     /// Takes in settings that changed while the process runs.
     pub(crate) fn reload(&self, settings: &GatewaySettings) {
         let mut live = lock(&self.live);
-        self.retries.rebound(settings.bounds.retry);
-        self.rollouts.rebound(settings.bounds.exposure);
+        self.retries.set_bounds(settings.bounds.retry);
+        self.rollouts.set_exposure(settings.bounds.exposure);
         live.bounds = settings.bounds.clone();
         live.store = settings.store;
     }
 
-    /// Whether a request whose caller waits for `patience` is still begun.
-    pub(crate) fn is_taking(&self, kind: RequestKind, patience: Duration) -> bool {
+    /// Whether a request whose caller waits for `timeout` is still begun.
+    pub(crate) fn is_admitted(&self, kind: RequestKind, timeout: Duration) -> bool {
         let live = lock(&self.live);
-        let passed = live.stop_ordered.map(|at| self.timer.now().since(at));
-        passed.is_none_or(|passed| live.stop().is_admitted(kind, patience, passed))
+        let passed = live.stop_began_at.map(|at| self.timer.now().since(at));
+        passed.is_none_or(|passed| live.stop_plan().is_admitted(kind, timeout, passed))
     }
 
     /// Waits for the first configuration and list of endpoints of a process that has just started.
@@ -170,7 +170,7 @@
     /// Waits until it is known which versions of services are on order, for a while: before that, the usual version alone gets
     /// requests, and which one that is can't be told from the endpoints.
     pub(crate) async fn wait_for_versions(&self) {
-        self.wait_while_starting(SITE_CHECK, || !self.rollouts.has_unvetted()).await;
+        self.wait_while_starting(SITE_CHECK, || !self.rollouts.has_unchecked_versions()).await;
     }
 
     /// Waits until the other hosts are listed, for a while: most learn from these, and each watch before that is a call to the
@@ -201,8 +201,8 @@
     }
 
     /// Begins the stop.
-    pub(crate) fn order_stop(&self) {
-        lock(&self.live).stop_ordered.get_or_insert(self.timer.now());
+    pub(crate) fn begin_stop(&self) {
+        lock(&self.live).stop_began_at.get_or_insert(self.timer.now());
     }
 
     /// The configuration in force.
@@ -236,7 +236,7 @@
         is_serving && self.has_endpoints.load(Ordering::Relaxed) && self.is_site_current()
     }
 
-    pub(crate) fn note_endpoints_listed(&self) {
+    pub(crate) fn mark_endpoints_listed(&self) {
         self.has_endpoints.store(true, Ordering::Relaxed);
     }
 
--- a/crates/hollyhook_gateway/src/gateway/gateway_process.rs
+++ b/crates/hollyhook_gateway/src/gateway/gateway_process.rs
@@ -10,7 +10,7 @@
 
 use super::GatewayContext;
 use crate::front::{metrics_response, readiness_response, serve_callers, serve_status};
-use crate::peer::{HostRegister, serve_peers};
+use crate::peer::{HostRegistrar, serve_peers};
 use crate::store::{EndpointWatch, RolloutWatch, SiteWatch};
 
 /// How often idle connections are looked through.
@@ -81,10 +81,10 @@
     pub async fn drain(self) -> bool {
         let timer = &self.context.timer;
         let ordered_at = timer.now();
-        self.context.order_stop();
+        self.context.begin_stop();
         tracing::info!(requests = self.context.load.requests(), "gateway.stopping");
-        timer.wait(self.context.stop().accept_period()).await;
-        while timer.now().since(ordered_at) < self.context.stop().usable_grace() {
+        timer.wait(self.context.stop_plan().accept_period()).await;
+        while timer.now().since(ordered_at) < self.context.stop_plan().usable_grace() {
             if self.context.load.requests() == 0 {
                 tracing::info!("gateway.stopped");
                 return true;
@@ -121,7 +121,7 @@
     };
     context.feed.begin_listing();
     task::spawn(serve_peers(listener, Arc::clone(context)));
-    task::spawn(HostRegister::new(Arc::clone(context), own).run());
+    task::spawn(HostRegistrar::new(Arc::clone(context), own).run());
     Ok(())
 }
 
--- a/crates/hollyhook_gateway/src/gateway/known_rollout.rs
+++ b/crates/hollyhook_gateway/src/gateway/known_rollout.rs
@@ -51,7 +51,7 @@
 }
 
 /// When an order was first heard of: by the note of the host that heard of it, if there is one.
-pub(super) fn heard_at(now: TimePoint, order: &RolloutOrder, status: Option<&RolloutStatus>) -> TimePoint {
+pub(super) fn first_seen_at(now: TimePoint, order: &RolloutOrder, status: Option<&RolloutStatus>) -> TimePoint {
     let noted = status.and_then(|status| status.ordered_ms);
     let age = noted.map_or(0, |at| unix_millis().saturating_sub(at));
     // Times of day may jump.
--- a/crates/hollyhook_gateway/src/gateway/live_settings.rs
+++ b/crates/hollyhook_gateway/src/gateway/live_settings.rs
@@ -8,17 +8,17 @@
 pub(super) struct LiveSettings {
     pub(super) bounds: GatewayBounds,
     pub(super) store: SocketAddr,
-    pub(super) stop_ordered: Option<TimePoint>,
+    pub(super) stop_began_at: Option<TimePoint>,
 }
 
 impl LiveSettings {
-    pub(super) fn stop(&self) -> StopPlan {
+    pub(super) fn stop_plan(&self) -> StopPlan {
         StopPlan::new(self.bounds.grace)
     }
 }
 
 impl From<&GatewaySettings> for LiveSettings {
     fn from(settings: &GatewaySettings) -> Self {
-        Self { bounds: settings.bounds.clone(), store: settings.store, stop_ordered: None }
+        Self { bounds: settings.bounds.clone(), store: settings.store, stop_began_at: None }
     }
 }
--- a/crates/hollyhook_gateway/src/gateway/quarantine_board.rs
+++ b/crates/hollyhook_gateway/src/gateway/quarantine_tracker.rs
@@ -13,16 +13,16 @@
 
 /// The requests that end the endpoints which run them, and what the platform's store holds of these.
 #[derive(Debug)]
-pub(crate) struct QuarantineBoard {
+pub(crate) struct QuarantineTracker {
     board: Arc<MetricBoard>,
     ledger: Mutex<CrashLedger>,
-    /// What is noted at endpoints' entries, by entry.
-    noted: Mutex<BTreeMap<Name, CrashRecords>>,
+    /// What is entries at endpoints' entries, by entry.
+    entries: Mutex<BTreeMap<Name, CrashRecords>>,
     /// Whether the records are being written to the store.
     is_writing: AtomicBool,
 }
 
-impl QuarantineBoard {
+impl QuarantineTracker {
     /// The name that the service is registered under.
     pub(crate) const NAME: &'static str = "quarantine";
 
@@ -35,7 +35,7 @@
         Ok(Self {
             board: registry.find(MetricBoard::NAME)?,
             ledger: Mutex::default(),
-            noted: Mutex::default(),
+            entries: Mutex::default(),
             is_writing: AtomicBool::new(false),
         })
     }
@@ -67,7 +67,7 @@
     }
 
     /// Notes that endpoints are gone without having said that they leave.
-    pub(crate) fn note_gone(&self, endpoints: &[EndpointId]) {
+    pub(crate) fn confirm_crashes(&self, endpoints: &[EndpointId]) {
         let mut ledger = lock(&self.ledger);
         if ledger.is_empty() {
             return;
@@ -100,10 +100,10 @@
         self.log(&change);
     }
 
-    /// Takes in what hosts noted at an endpoint's entry.
-    pub(crate) fn read_entry(&self, object: &StoreObject) {
+    /// Takes in what hosts entries at an endpoint's entry.
+    pub(crate) fn load_entry(&self, object: &StoreObject) {
         match hollyhook_platform::decode_crashes(object) {
-            Ok(records) => self.note_entry(&object.name, records),
+            Ok(records) => self.set_entry(&object.name, records),
             Err(error) => {
                 tracing::error!(%error, entry = %object.name, revision = object.revision, "quarantine.malformed");
             }
@@ -111,42 +111,42 @@
     }
 
     /// Takes in that these records stand at an endpoint's entry now.
-    pub(crate) fn note_entry(&self, entry: &Name, records: CrashRecords) {
-        self.change_noted(|noted| {
+    pub(crate) fn set_entry(&self, entry: &Name, records: CrashRecords) {
+        self.change_entries(|entries| {
             if records.is_empty() {
-                return noted.remove(entry).is_some();
+                return entries.remove(entry).is_some();
             }
-            noted.insert(Name::clone(entry), records.clone()) != Some(records)
+            entries.insert(Name::clone(entry), records.clone()) != Some(records)
         });
     }
 
     /// Notes that an endpoint's entry is gone, and what stood there with it.
-    pub(crate) fn forget_entry(&self, entry: &Name) {
-        self.change_noted(|noted| noted.remove(entry).is_some());
+    pub(crate) fn remove_entry(&self, entry: &Name) {
+        self.change_entries(|entries| entries.remove(entry).is_some());
     }
 
     /// Notes that all other entries are gone.
     pub(crate) fn retain_entries(&self, is_present: impl Fn(&Name) -> bool) {
-        self.change_noted(|noted| {
-            let before = noted.len();
-            noted.retain(|entry, _| is_present(entry));
-            noted.len() != before
+        self.change_entries(|entries| {
+            let before = entries.len();
+            entries.retain(|entry, _| is_present(entry));
+            entries.len() != before
         });
     }
 
-    /// Changes what is noted at entries, and lets the ledger know if that made a difference.
-    fn change_noted(&self, change: impl FnOnce(&mut BTreeMap<Name, CrashRecords>) -> bool) {
-        let mut noted = lock(&self.noted);
-        if !change(&mut noted) {
+    /// Changes what is entries at entries, and lets the ledger know if that made a difference.
+    fn change_entries(&self, change: impl FnOnce(&mut BTreeMap<Name, CrashRecords>) -> bool) {
+        let mut entries = lock(&self.entries);
+        if !change(&mut entries) {
             return;
         }
-        let mut stored = CrashRecords::new();
-        for (digest, record) in noted.values().flatten() {
-            stored.entry(*digest).or_default().merge(record);
+        let mut merged = CrashRecords::new();
+        for (digest, record) in entries.values().flatten() {
+            merged.entry(*digest).or_default().merge(record);
         }
-        // Still with the lock on what is noted: what was read later must not be learnt first.
-        let change = lock(&self.ledger).merge_stored(unix_millis(), stored);
-        drop(noted);
+        // Still with the lock on what is entries: what was read later must not be learnt first.
+        let change = lock(&self.ledger).merge_stored(unix_millis(), merged);
+        drop(entries);
         self.log(&change);
     }
 
--- a/crates/hollyhook_gateway/src/gateway/request_load.rs
+++ b/crates/hollyhook_gateway/src/gateway/request_load.rs
@@ -31,8 +31,8 @@
     }
 
     /// A claim on memory for a body that is about to be read.
-    pub(crate) fn claim_body(self: &Arc<Self>) -> BodyClaim {
-        BodyClaim { load: Arc::clone(self), bytes: 0 }
+    pub(crate) fn reserve_body(self: &Arc<Self>) -> BodyReservation {
+        BodyReservation { load: Arc::clone(self), bytes: 0 }
     }
 }
 
@@ -50,12 +50,12 @@
 
 /// Memory that a body takes.
 #[derive(Debug)]
-pub(crate) struct BodyClaim {
+pub(crate) struct BodyReservation {
     load: Arc<RequestLoad>,
     bytes: usize,
 }
 
-impl BodyClaim {
+impl BodyReservation {
     /// Claims more; false if bodies take too much already.
     pub(crate) fn grow(&mut self, bytes: usize) -> bool {
         let taken = self.load.body_bytes.fetch_add(bytes, Ordering::Relaxed);
@@ -64,7 +64,7 @@
     }
 }
 
-impl Drop for BodyClaim {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         self.load.body_bytes.fetch_sub(self.bytes, Ordering::Relaxed);
     }
--- a/crates/hollyhook_gateway/src/gateway/retry_budgets.rs
+++ b/crates/hollyhook_gateway/src/gateway/retry_budgets.rs
@@ -34,7 +34,7 @@
     }
 
     /// Takes other bounds; what was counted under the old ones is forgotten.
-    pub(crate) fn rebound(&self, bounds: RetryBounds) {
+    pub(crate) fn set_bounds(&self, bounds: RetryBounds) {
         let mut state = lock(&self.inner);
         if state.bounds != bounds {
             *state = BudgetState { bounds, windows: HashMap::new() };
--- a/crates/hollyhook_gateway/src/gateway/rollout_board.rs
+++ b/crates/hollyhook_gateway/src/gateway/rollout_tracker.rs
@@ -14,39 +14,39 @@
 use rand::Rng;
 
 use super::EndpointDirectory;
-use super::known_rollout::{KnownRollout, heard_at};
+use super::known_rollout::{KnownRollout, first_seen_at};
 use crate::sync::{WakeList, lock};
 
 /// The part of the requests that a version on trial may get which it does get; the rest is for chance, and for what is moved
 /// to it shortly before the deadline.
-const TRIAL_PART: f64 = 0.8;
+const TRIAL_SHARE: f64 = 0.8;
 /// How long after this host last heard of the store it still sends requests to a version on trial: what others see of it can't
 /// be heard of.
-const CONFIRMED_FOR: Duration = Duration::from_millis(2_500);
+const CONFIRMATION_AGE: Duration = Duration::from_millis(2_500);
 
 /// The roll-outs that this host knows of, which versions its requests may go to, and what it saw of those on trial.
 #[derive(Debug)]
-pub(crate) struct RolloutBoard {
+pub(crate) struct RolloutTracker {
     timer: Arc<TimerService>,
     board: Arc<MetricBoard>,
     endpoints: Arc<EndpointDirectory>,
-    state: Mutex<BoardState>,
+    state: Mutex<TrackerState>,
     waiters: WakeList,
     /// Whether reports and decisions are being made.
     is_working: AtomicBool,
 }
 
 #[derive(Debug, Default)]
-struct BoardState {
+struct TrackerState {
     /// The share of a service's requests that a version may get before it is judged; none where no roll-outs are ordered.
     exposure: Option<f64>,
     rollouts: BTreeMap<Name, KnownRollout>,
     /// Services whose order can't be read; nothing of theirs is moved.
     blocked: BTreeSet<Name>,
     /// Versions by service of which it is known whether they are on order.
-    vetted: BTreeSet<(Name, Name)>,
+    checked_versions: BTreeSet<(Name, Name)>,
     /// Versions by service of which it isn't yet.
-    unvetted: BTreeMap<Name, BTreeSet<Name>>,
+    unchecked_versions: BTreeMap<Name, BTreeSet<Name>>,
     /// When this host last heard of the store.
     confirmed: Option<TimePoint>,
 }
@@ -65,7 +65,7 @@
     pub(crate) gap: Option<Duration>,
 }
 
-impl RolloutBoard {
+impl RolloutTracker {
     /// The name that the service is registered under.
     pub(crate) const NAME: &'static str = "rollouts";
 
@@ -80,19 +80,19 @@
             timer: registry.find(TimerService::NAME)?,
             board: registry.find(MetricBoard::NAME)?,
             endpoints: registry.find(EndpointDirectory::NAME)?,
-            state: Mutex::new(BoardState { exposure, ..BoardState::default() }),
+            state: Mutex::new(TrackerState { exposure, ..TrackerState::default() }),
             waiters: WakeList::default(),
             is_working: AtomicBool::new(false),
         })
     }
 
     /// Takes in another share.
-    pub(crate) fn rebound(&self, exposure: Option<f64>) {
+    pub(crate) fn set_exposure(&self, exposure: Option<f64>) {
         lock(&self.state).exposure = exposure;
     }
 
     /// Whether roll-outs may be ordered here.
-    pub(crate) fn is_on(&self) -> bool {
+    pub(crate) fn is_enabled(&self) -> bool {
         lock(&self.state).exposure.is_some()
     }
 
@@ -103,55 +103,58 @@
 
     /// Whether there are versions of which a list of the orders would tell whether they are on order. Where an order can't be
     /// read it would not.
-    pub(crate) fn has_unvetted(&self) -> bool {
+    pub(crate) fn has_unchecked_versions(&self) -> bool {
         let state = lock(&self.state);
-        state.unvetted.keys().any(|service| !state.blocked.contains(service))
+        state.unchecked_versions.keys().any(|service| !state.blocked.contains(service))
     }
 
     /// Whether a change of an order would matter to this host now.
-    pub(crate) fn is_awaited(&self) -> bool {
+    pub(crate) fn is_watch_needed(&self) -> bool {
         !lock(&self.state).blocked.is_empty() || self.is_active()
     }
 
-    /// Completes when there is a version to be vetted.
-    pub(crate) fn signal(&self) -> oneshot::Receiver<()> {
+    /// Completes when there is a version to be checked_versions.
+    pub(crate) fn unchecked_signal(&self) -> oneshot::Receiver<()> {
         self.waiters.wait()
     }
 
     /// Which versions a request may go to; none if any.
     ///
-    /// A version on trial is drawn for a small share of the requests, and only for their first attempt (`is_first`): what
+    /// A version on trial is trial for a small share of the requests, and only for their first attempt (`is_first`): what
     /// is sent again has been held up enough.
-    pub(crate) fn rule(&self, service: &Name, is_first: bool) -> Option<VersionFilter> {
+    pub(crate) fn version_filter(&self, service: &Name, is_first: bool) -> Option<VersionFilter> {
         let state = lock(&self.state);
         let exposure = state.exposure?;
-        let unvetted = state.unvetted.get(service).cloned();
+        let unchecked_versions = state.unchecked_versions.get(service).cloned();
         let now = self.timer.now();
         let rollout = state.rollouts.get(service);
-        let is_heard = state.confirmed.is_some_and(|at| now.since(at) <= CONFIRMED_FOR);
+        let is_confirmed = state.confirmed.is_some_and(|at| now.since(at) <= CONFIRMATION_AGE);
         let target = rollout.map(|rollout| (Name::clone(&rollout.order.target), rollout.plan().share(now)));
         drop(state);
         let others = |version: Option<Name>| {
-            let except: BTreeSet<Name> = unvetted.clone().into_iter().flatten().chain(version).collect();
+            let except: BTreeSet<Name> = unchecked_versions.clone().into_iter().flatten().chain(version).collect();
             (!except.is_empty()).then(|| VersionFilter { except, ..VersionFilter::any() })
         };
         match target {
             None | Some((_, TargetShare::Unrestricted)) => others(None),
             Some((version, TargetShare::None)) => others(Some(version)),
             Some((version, TargetShare::All)) => {
-                let is_there = !self.live_endpoints(service, &version).is_empty();
-                is_there.then(|| VersionFilter::only(&version))
+                let has_live = !self.live_endpoints(service, &version).is_empty();
+                has_live.then(|| VersionFilter::only(&version))
             }
             Some((version, TargetShare::Trial)) => {
-                let drawn =
-                    if is_first && is_heard { self.draw(service, &version, exposure * TRIAL_PART) } else { None };
-                drawn.or_else(|| others(Some(version)))
+                let trial = if is_first && is_confirmed {
+                    self.draw_trial(service, &version, exposure * TRIAL_SHARE)
+                } else {
+                    None
+                };
+                trial.or_else(|| others(Some(version)))
             }
         }
     }
 
-    /// The rule for a request that is drawn for the version on trial, if it is.
-    fn draw(&self, service: &Name, version: &Name, share: f64) -> Option<VersionFilter> {
+    /// The rule for a request that is trial for the version on trial, if it is.
+    fn draw_trial(&self, service: &Name, version: &Name, share: f64) -> Option<VersionFilter> {
         if !rand::rng().random_bool(share.clamp(0.0, 1.0)) {
             return None;
         }
@@ -164,7 +167,7 @@
     }
 
     /// Whether an endpoint may be sent what another one has begun.
-    pub(crate) fn may_go_on_at(&self, service: &Name, version: &Name) -> bool {
+    pub(crate) fn may_continue_at(&self, service: &Name, version: &Name) -> bool {
         let state = lock(&self.state);
         let Some(rollout) = state.rollouts.get(service).filter(|_| state.exposure.is_some()) else {
             return true;
@@ -181,12 +184,12 @@
     fn live_endpoints(&self, service: &Name, target: &Name) -> Vec<EndpointId> {
         let table = self.endpoints.table();
         let live = table.iter().filter(|record| record.state == EndpointState::Live);
-        let meant = live.filter(|record| record.service == *service && record.version == *target);
-        meant.map(|record| EndpointId::clone(&record.id)).collect()
+        let matching = live.filter(|record| record.service == *service && record.version == *target);
+        matching.map(|record| EndpointId::clone(&record.id)).collect()
     }
 
     /// Takes in what an endpoint answered.
-    pub(crate) fn note_answer(&self, answer: &VersionAnswer<'_>) {
+    pub(crate) fn record_answer(&self, answer: &VersionAnswer<'_>) {
         let mut state = lock(&self.state);
         let Some(rollout) = state.rollouts.get_mut(answer.service).filter(|rollout| rollout.is_active()) else {
             return;
@@ -207,7 +210,7 @@
     /// Looks for versions of which it is not known whether they are on order.
     ///
     /// Where all endpoints of a service are of one version, an order would have nothing to move to.
-    pub(crate) fn note_versions(&self) {
+    pub(crate) fn check_versions(&self) {
         let mut state = lock(&self.state);
         if state.exposure.is_none() {
             return;
@@ -217,11 +220,11 @@
             let versions = counts.entry(Name::clone(&record.service)).or_default();
             *versions.entry(Name::clone(&record.version)).or_default() += 1;
         }
-        state.unvetted.clear();
+        state.unchecked_versions.clear();
         for (service, versions) in counts {
-            state.note_service(service, &versions);
+            state.check_service(service, &versions);
         }
-        if !state.unvetted.is_empty() {
+        if !state.unchecked_versions.is_empty() {
             drop(state);
             self.waiters.wake();
         }
@@ -234,31 +237,31 @@
     }
 
     /// Takes in all orders that there are, of when nothing was known of the versions that were looked for then.
-    pub(crate) fn take_list(&self, objects: &[StoreObject], looked_for: &BTreeMap<Name, BTreeSet<Name>>) {
+    pub(crate) fn apply_list(&self, objects: &[StoreObject], looked_up: &BTreeMap<Name, BTreeSet<Name>>) {
         let missing: Vec<Name> = {
             let state = lock(&self.state);
             let present = |service: &Name| objects.iter().any(|object| object.name == *service);
             state.rollouts.keys().chain(&state.blocked).filter(|service| !present(service)).cloned().collect()
         };
         for service in &missing {
-            self.forget(service);
+            self.withdraw(service);
         }
         for object in objects {
-            self.take(object);
+            self.apply(object);
         }
-        lock(&self.state).vet(looked_for);
-        self.note_versions();
+        lock(&self.state).mark_checked(looked_up);
+        self.check_versions();
     }
 
-    /// The versions that are to be vetted.
-    pub(crate) fn unvetted(&self) -> BTreeMap<Name, BTreeSet<Name>> {
-        lock(&self.state).unvetted.clone()
+    /// The versions that are to be checked_versions.
+    pub(crate) fn unchecked_versions(&self) -> BTreeMap<Name, BTreeSet<Name>> {
+        lock(&self.state).unchecked_versions.clone()
     }
 
     /// Takes in an order and what was written of it.
-    pub(crate) fn take(&self, object: &StoreObject) {
+    pub(crate) fn apply(&self, object: &StoreObject) {
         match hollyhook_platform::decode_order(object) {
-            Ok(order) => self.take_order(object, order),
+            Ok(order) => self.apply_order(object, order),
             Err(error) => {
                 self.board.count("rollouts_malformed");
                 tracing::error!(%error, service = %object.name, revision = object.revision, "rollout.malformed");
@@ -267,12 +270,12 @@
         }
     }
 
-    fn take_order(&self, object: &StoreObject, order: RolloutOrder) {
+    fn apply_order(&self, object: &StoreObject, order: RolloutOrder) {
         let now = self.timer.now();
         let status = hollyhook_platform::decode_status(object, &order);
         let mut state = lock(&self.state);
         state.blocked.remove(&object.name);
-        state.vetted.insert((Name::clone(&order.service), Name::clone(&order.target)));
+        state.checked_versions.insert((Name::clone(&order.service), Name::clone(&order.target)));
         let known = state.rollouts.get(&order.service);
         let known = known.filter(|known| known.order.target == order.target && !known.is_withdrawn).cloned();
         let is_new = known.is_none();
@@ -282,7 +285,7 @@
             stored: None,
             state: None,
             state_since: now,
-            ordered_at: heard_at(now, &order, status.as_ref()),
+            ordered_at: first_seen_at(now, &order, status.as_ref()),
             is_withdrawn: false,
             evidence: TrialEvidence::default(),
         });
@@ -305,7 +308,7 @@
     }
 
     /// Takes in that an order is gone. What was rolled back stays so until there is another order.
-    pub(crate) fn forget(&self, service: &Name) {
+    pub(crate) fn withdraw(&self, service: &Name) {
         let mut state = lock(&self.state);
         state.blocked.remove(service);
         let Some(rollout) = state.rollouts.get_mut(service) else {
@@ -352,31 +355,34 @@
     }
 }
 
-impl BoardState {
+impl TrackerState {
     /// Looks at the versions of a service, and how many endpoints have each.
-    fn note_service(&mut self, service: Name, versions: &BTreeMap<Name, usize>) {
-        let is_vetted = |version: &Name| self.vetted.contains(&(Name::clone(&service), Name::clone(version)));
-        if !versions.keys().any(is_vetted)
+    fn check_service(&mut self, service: Name, versions: &BTreeMap<Name, usize>) {
+        let is_checked =
+            |version: &Name| self.checked_versions.contains(&(Name::clone(&service), Name::clone(version)));
+        if !versions.keys().any(is_checked)
             && let Some((usual, _)) = versions.iter().max_by_key(|(_, count)| **count)
         {
             // Nothing is known of any: most run what was there before.
-            self.vetted.insert((Name::clone(&service), Name::clone(usual)));
+            self.checked_versions.insert((Name::clone(&service), Name::clone(usual)));
         }
-        let is_vetted = |version: &Name| self.vetted.contains(&(Name::clone(&service), Name::clone(version)));
-        let unvetted: BTreeSet<Name> = versions.keys().filter(|version| !is_vetted(version)).cloned().collect();
-        if !unvetted.is_empty() {
-            self.unvetted.insert(service, unvetted);
+        let is_checked =
+            |version: &Name| self.checked_versions.contains(&(Name::clone(&service), Name::clone(version)));
+        let unchecked_versions: BTreeSet<Name> =
+            versions.keys().filter(|version| !is_checked(version)).cloned().collect();
+        if !unchecked_versions.is_empty() {
+            self.unchecked_versions.insert(service, unchecked_versions);
         }
     }
 
     /// Takes in that no order beside those that are known names these versions.
-    fn vet(&mut self, looked_for: &BTreeMap<Name, BTreeSet<Name>>) {
-        for (service, versions) in looked_for {
+    fn mark_checked(&mut self, looked_up: &BTreeMap<Name, BTreeSet<Name>>) {
+        for (service, versions) in looked_up {
             if self.blocked.contains(service) {
                 continue;
             }
-            let vetted = versions.iter().map(|version| (Name::clone(service), Name::clone(version)));
-            self.vetted.extend(vetted);
+            let checked_versions = versions.iter().map(|version| (Name::clone(service), Name::clone(version)));
+            self.checked_versions.extend(checked_versions);
         }
     }
 }
--- a/crates/hollyhook_gateway/src/peer/feed_message.rs
+++ b/crates/hollyhook_gateway/src/peer/feed_message.rs
@@ -77,28 +77,28 @@
 }
 
 impl FeedMessage {
-    /// The message for news, told at `now` in answer to a question that came at `asked_at`.
-    pub(super) fn new(news: FeedUpdate<StoreObject>, asked_at: TimePoint, now: TimePoint) -> Self {
+    /// The message for news, told at `now` in answer to a question that came at `sent_at`.
+    pub(super) fn new(update: FeedUpdate<StoreObject>, sent_at: TimePoint, now: TimePoint) -> Self {
         Self {
-            is_whole: news.is_snapshot,
-            era: news.revision.era,
-            revision: news.revision.number,
-            age_ms: now.since(news.confirmed_until).as_millis() as u64,
-            back_ms_ago: news.grace_start.map(|at| now.since(at).as_millis() as u64),
-            hops: news.hops,
-            held_ms: now.since(asked_at).as_millis() as u64,
-            changes: news.changes.into_iter().map(MessageChange::from).collect(),
+            is_whole: update.is_snapshot,
+            era: update.revision.era,
+            revision: update.revision.number,
+            age_ms: now.since(update.confirmed_until).as_millis() as u64,
+            back_ms_ago: update.grace_start.map(|at| now.since(at).as_millis() as u64),
+            hops: update.hops,
+            held_ms: now.since(sent_at).as_millis() as u64,
+            changes: update.changes.into_iter().map(MessageChange::from).collect(),
         }
     }
 
-    /// The news, for a question asked at `asked_at` that was to be held for up to `wait`.
+    /// The news, for a question asked at `sent_at` that was to be held for up to `wait`.
     ///
     /// When the answer was given is not known here, only that it was no sooner than the question and the time for which it
     /// was held. The ages count from then, so that a delayed answer never makes anything look newer than it is.
     /// Counted from the question alone, what passed through two hosts would look older than it is, and in an outage of the store
     /// keys would be refused that much sooner.
-    pub(super) fn into_news(self, asked_at: TimePoint, wait: Duration) -> FeedUpdate<StoreObject> {
-        let answered_at = asked_at + Duration::from_millis(self.held_ms).min(wait);
+    pub(super) fn into_update(self, sent_at: TimePoint, wait: Duration) -> FeedUpdate<StoreObject> {
+        let answered_at = sent_at + Duration::from_millis(self.held_ms).min(wait);
         FeedUpdate {
             is_snapshot: self.is_whole,
             changes: self.changes.into_iter().map(FeedChange::from).collect(),
--- a/crates/hollyhook_gateway/src/peer/feed_server.rs
+++ b/crates/hollyhook_gateway/src/peer/feed_server.rs
@@ -19,7 +19,7 @@
 use crate::net::wire_stream;
 
 /// The longest that a follower may wait for news.
-const MOST_WAIT: Duration = Duration::from_secs(5);
+const MAX_WAIT: Duration = Duration::from_secs(5);
 
 /// Tells other hosts what this one reads of the store, until the process ends.
 pub(crate) async fn serve_peers(listener: TcpListener, context: Arc<GatewayContext>) {
@@ -46,11 +46,11 @@
     let Some(query) = FeedQuery::from_path(request.uri().path(), request.uri().query()) else {
         return empty(StatusCode::NOT_FOUND);
     };
-    let asked_at = context.timer.now();
-    let Some(news) = wait_for_news(context, &query).await else {
+    let sent_at = context.timer.now();
+    let Some(update) = wait_for_update(context, &query).await else {
         return empty(StatusCode::SERVICE_UNAVAILABLE);
     };
-    let message = FeedMessage::new(news, asked_at, context.timer.now());
+    let message = FeedMessage::new(update, sent_at, context.timer.now());
     match serde_json::to_vec(&message) {
         Ok(body) => Response::new(Full::from(body)),
         Err(error) => {
@@ -61,17 +61,17 @@
 }
 
 /// The news after the follower's revision; none if this host may not tell, or has heard nothing itself within the wait.
-async fn wait_for_news(context: &GatewayContext, query: &FeedQuery) -> Option<FeedUpdate<StoreObject>> {
-    let until = context.timer.now() + query.wait.min(MOST_WAIT);
+async fn wait_for_update(context: &GatewayContext, query: &FeedQuery) -> Option<FeedUpdate<StoreObject>> {
+    let until = context.timer.now() + query.wait.min(MAX_WAIT);
     loop {
         // Waited for before looking, so that what comes in between is not missed.
-        let signal = context.feed.news();
-        let news = context.feed.after(query.kind, query.after);
+        let signal = context.feed.update_signal();
+        let update = context.feed.update_after(query.kind, query.after);
         let time_left = until.since(context.timer.now());
         // After a loss of all hosts those that are asked start at the same moment as those that ask.
-        let is_awaited = news.as_ref().map_or(!context.feed.has_heard(query.kind), FeedUpdate::is_empty);
+        let is_awaited = update.as_ref().map_or(!context.feed.has_updates(query.kind), FeedUpdate::is_empty);
         if !is_awaited || time_left.is_zero() {
-            return news;
+            return update;
         }
         let _signal = context.timer.within(time_left, signal).await;
     }
--- a/crates/hollyhook_gateway/src/peer/feed_board.rs
+++ b/crates/hollyhook_gateway/src/peer/feed_state.rs
@@ -13,8 +13,8 @@
 
 /// What this host knows of the store and tells others, and who they are.
 #[derive(Debug)]
-pub(crate) struct FeedBoard {
-    roster: Mutex<FeedTopology>,
+pub(crate) struct FeedState {
+    topology: Mutex<FeedTopology>,
     logs: Mutex<HashMap<ObjectKind, FeedLog<StoreObject>>>,
     /// Those who wait for news of any kind.
     waiters: WakeList,
@@ -25,14 +25,14 @@
     snapshot_limit: usize,
 }
 
-impl FeedBoard {
+impl FeedState {
     /// The name that the service is registered under.
     pub(crate) const NAME: &'static str = "feed";
 
     /// The board of a host whose link carries `link_mbps` Mbit/s.
     pub(crate) fn new(host: Name, zone: ZoneName, link_mbps: u32) -> Self {
         Self {
-            roster: Mutex::new(FeedTopology::new(host, zone)),
+            topology: Mutex::new(FeedTopology::new(host, zone)),
             logs: Mutex::default(),
             waiters: WakeList::default(),
             is_listing: AtomicBool::new(false),
@@ -47,8 +47,8 @@
     }
 
     /// Judges an answer by the era of the store that it tells.
-    pub(crate) fn judge_era(&self, told: Option<u64>) -> EraVerdict {
-        lock(&self.eras).observe(told)
+    pub(crate) fn observe_era(&self, era: Option<u64>) -> EraVerdict {
+        lock(&self.eras).observe(era)
     }
 
     /// Notes that the other hosts will be listed soon.
@@ -68,68 +68,72 @@
 
     /// The hosts that are registered; none before they are listed.
     pub(crate) fn host_count(&self) -> Option<usize> {
-        Some(lock(&self.roster).host_count()).filter(|count| *count > 0)
+        Some(lock(&self.topology).host_count()).filter(|count| *count > 0)
     }
 
     /// From whom this host learns now.
     pub(crate) fn plan(&self, now: TimePoint) -> FeedPlan {
-        lock(&self.roster).plan(now)
+        lock(&self.topology).plan(now)
     }
 
     /// Whether the hosts of the zone are so many that some tell on what one reads.
     pub(crate) fn has_relays(&self) -> bool {
-        lock(&self.roster).has_relays()
+        lock(&self.topology).has_relays()
     }
 
     /// Whom to ask when the store gives no answer.
     pub(crate) fn helpers(&self, now: TimePoint) -> Vec<HostRecord> {
-        lock(&self.roster).helpers(now)
+        lock(&self.topology).helpers(now)
     }
 
     /// Takes in all hosts that are registered.
-    pub(crate) fn list_members(&self, members: Vec<HostRecord>) {
-        lock(&self.roster).set_hosts(members);
+    pub(crate) fn set_hosts(&self, records: Vec<HostRecord>) {
+        lock(&self.topology).set_hosts(records);
     }
 
     /// Notes that a host to learn from was of no use.
-    pub(crate) fn pass_over(&self, now: TimePoint, host: &Name, reason: SkipReason) {
-        lock(&self.roster).skip_source(now, host, reason);
+    pub(crate) fn skip_source(&self, now: TimePoint, host: &Name, reason: SkipReason) {
+        lock(&self.topology).skip_source(now, host, reason);
     }
 
     /// Notes that a host was of no use that was asked for help.
-    pub(crate) fn pass_over_helper(&self, now: TimePoint, host: &Name, reason: SkipReason) {
-        lock(&self.roster).skip_helper(now, host, reason);
+    pub(crate) fn skip_helper(&self, now: TimePoint, host: &Name, reason: SkipReason) {
+        lock(&self.topology).skip_helper(now, host, reason);
     }
 
     /// Notes that the store gives this host no answer either.
-    pub(crate) fn forgive(&self) {
-        lock(&self.roster).restore_stale_sources();
+    pub(crate) fn restore_stale_sources(&self) {
+        lock(&self.topology).restore_stale_sources();
     }
 
     /// Takes news in.
-    pub(crate) fn take(&self, kind: ObjectKind, news: &FeedUpdate<StoreObject>) {
+    pub(crate) fn apply(&self, kind: ObjectKind, update: &FeedUpdate<StoreObject>) {
         lock(&self.logs)
             .entry(kind)
             .or_insert_with(|| FeedLog::default().snapshot_limit(self.snapshot_limit))
-            .apply(news);
-        if news.is_empty() {
+            .apply(update);
+        if update.is_empty() {
             return;
         }
         self.waiters.wake();
     }
 
     /// What changed after a revision; none if this host may not tell.
-    pub(crate) fn after(&self, kind: ObjectKind, revision: Option<StoreRevision>) -> Option<FeedUpdate<StoreObject>> {
+    pub(crate) fn update_after(
+        &self,
+        kind: ObjectKind,
+        revision: Option<StoreRevision>,
+    ) -> Option<FeedUpdate<StoreObject>> {
         lock(&self.logs).get(&kind)?.update_after(revision)
     }
 
     /// Whether this host has heard of any objects of that kind.
-    pub(crate) fn has_heard(&self, kind: ObjectKind) -> bool {
+    pub(crate) fn has_updates(&self, kind: ObjectKind) -> bool {
         lock(&self.logs).contains_key(&kind)
     }
 
     /// Completes when news of any kind are there.
-    pub(crate) fn news(&self) -> oneshot::Receiver<()> {
+    pub(crate) fn update_signal(&self) -> oneshot::Receiver<()> {
         self.waiters.wait()
     }
 }
--- a/crates/hollyhook_gateway/src/peer/host_register.rs
+++ b/crates/hollyhook_gateway/src/peer/host_registrar.rs
@@ -10,21 +10,21 @@
 
 /// The pause between writing the own entry and reading those of others, which start at about the same time: within 0.3 s of
 /// each other, and 0.1 s each until they write. Until then each reads the store for itself.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
+const FIRST_LIST_DELAY: Duration = Duration::from_millis(500);
 /// The pause until they are read again, for those that came later, and since the list may be some seconds old.
-const SECOND_PAUSE: Duration = Duration::from_secs(3);
+const SECOND_LIST_DELAY: Duration = Duration::from_secs(3);
 /// How often the others are read again, those of the own zone and of one other. Hosts come and go a few times an hour, and what
 /// is missed meanwhile costs calls to the store but serves callers no worse.
 const LIST_INTERVAL: Duration = Duration::from_secs(20);
 /// The pause after a failed call.
-const RETRY_PAUSE: Duration = Duration::from_secs(2);
+const RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// Makes this host known to the others through the store, and learns of them: at once of those of its zone, from whom it
 /// learns what the store holds, and of the others later.
 ///
 /// Entries of hosts that are gone stay; who asks such a host passes it over.
 #[derive(Debug)]
-pub(crate) struct HostRegister {
+pub(crate) struct HostRegistrar {
     context: Arc<GatewayContext>,
     client: StoreClient,
     own: HostRecord,
@@ -34,7 +34,7 @@
     last_listed: ZoneName,
 }
 
-impl HostRegister {
+impl HostRegistrar {
     pub(crate) fn new(context: Arc<GatewayContext>, own: HostRecord) -> Self {
         let client = StoreClient::new(&context);
         Self { context, client, own, zones: BTreeMap::new(), last_listed: ZoneName::default() }
@@ -51,7 +51,7 @@
             is_registered = self.register().await;
         }
         self.context.feed.end_listing();
-        self.context.timer.wait(SECOND_PAUSE).await;
+        self.context.timer.wait(SECOND_LIST_DELAY).await;
         for zone in self.other_zones() {
             self.list_other(zone).await;
         }
@@ -61,7 +61,7 @@
             let is_listed = loop {
                 match self.try_list().await {
                     Some(is_listed) => break is_listed,
-                    None => self.context.timer.wait(RETRY_PAUSE).await,
+                    None => self.context.timer.wait(RETRY_DELAY).await,
                 }
             };
             // The copy from which the store came back may be from before this host's entry.
@@ -94,7 +94,7 @@
     async fn list_other(&mut self, zone: ZoneName) {
         self.last_listed = ZoneName::clone(&zone);
         match self.list(&zone).await {
-            Ok(members) => self.take(zone, members),
+            Ok(records) => self.apply(zone, records),
             Err(error) => tracing::info!(%error, %zone, "hosts.not_listed"),
         }
     }
@@ -103,13 +103,13 @@
     async fn register(&mut self) -> bool {
         if let Err(error) = self.client.register_host(&self.own).await {
             tracing::info!(%error, "host.not_registered");
-            self.context.timer.wait(RETRY_PAUSE).await;
+            self.context.timer.wait(RETRY_DELAY).await;
             return false;
         }
         tracing::info!(address = %self.own.address, "host.registered");
-        self.context.timer.wait(FIRST_PAUSE).await;
+        self.context.timer.wait(FIRST_LIST_DELAY).await;
         while self.try_list().await.is_none() {
-            self.context.timer.wait(RETRY_PAUSE).await;
+            self.context.timer.wait(RETRY_DELAY).await;
         }
         true
     }
@@ -119,30 +119,30 @@
     async fn try_list(&mut self) -> Option<bool> {
         let zone = ZoneName::clone(&self.own.zone);
         let listed = self.list(&zone).await;
-        let members = listed.inspect_err(|error| tracing::info!(%error, %zone, "hosts.not_listed")).ok()?;
-        let is_listed = members.contains(&self.own);
-        self.take(zone, members);
+        let records = listed.inspect_err(|error| tracing::info!(%error, %zone, "hosts.not_listed")).ok()?;
+        let is_listed = records.contains(&self.own);
+        self.apply(zone, records);
         Some(is_listed)
     }
 
-    fn take(&mut self, zone: ZoneName, members: Vec<HostRecord>) {
-        self.zones.insert(zone, members);
-        let members: Vec<HostRecord> = self.zones.values().flatten().cloned().collect();
-        tracing::debug!(hosts = members.len(), "hosts.listed");
-        self.context.feed.list_members(members);
+    fn apply(&mut self, zone: ZoneName, records: Vec<HostRecord>) {
+        self.zones.insert(zone, records);
+        let records: Vec<HostRecord> = self.zones.values().flatten().cloned().collect();
+        tracing::debug!(hosts = records.len(), "hosts.listed");
+        self.context.feed.set_hosts(records);
         self.context.board.count("hosts_listed");
     }
 
     async fn list(&mut self, zone: &ZoneName) -> Result<Vec<HostRecord>, StoreError> {
         let objects = self.client.list_hosts(zone).await?;
-        let mut members = Vec::with_capacity(objects.len());
+        let mut records = Vec::with_capacity(objects.len());
         for object in objects.iter().filter(|object| !object.is_deleting) {
             match hollyhook_platform::decode_host(object) {
-                Ok(member) if member.zone == *zone => members.push(member),
-                Ok(member) => tracing::error!(host = %member.host, zone = %member.zone, "host.misplaced"),
+                Ok(record) if record.zone == *zone => records.push(record),
+                Ok(record) => tracing::error!(host = %record.host, zone = %record.zone, "host.misplaced"),
                 Err(error) => tracing::error!(%error, host = %object.name, "host.malformed"),
             }
         }
-        Ok(members)
+        Ok(records)
     }
 }
--- a/crates/hollyhook_gateway/src/peer/mod.rs
+++ b/crates/hollyhook_gateway/src/peer/mod.rs
@@ -1,12 +1,12 @@
 //! What hosts of a zone tell each other of what they read of the platform's store.
 
-mod feed_board;
 mod feed_message;
 mod feed_server;
-mod host_register;
+mod feed_state;
+mod host_registrar;
 mod peer_client;
 
-pub(crate) use feed_board::FeedBoard;
 pub(crate) use feed_server::serve_peers;
-pub(crate) use host_register::HostRegister;
-pub(crate) use peer_client::{PeerClient, PeerFault, PeerQuestion, PeerRole};
+pub(crate) use feed_state::FeedState;
+pub(crate) use host_registrar::HostRegistrar;
+pub(crate) use peer_client::{PeerClient, PeerError, PeerRequest, PeerRole};
--- a/crates/hollyhook_gateway/src/peer/peer_client.rs
+++ b/crates/hollyhook_gateway/src/peer/peer_client.rs
@@ -32,14 +32,14 @@
     }
 
     /// How long the answer may take.
-    fn limit(self, timing: FeedTiming) -> Duration {
+    fn timeout(self, timing: FeedTiming) -> Duration {
         match self {
             Self::ListSource => timing.list_timeout(),
             Self::Leader | Self::Source | Self::Helper => timing.peer_timeout(self.wait(timing)),
         }
     }
 
-    fn is_too_old(self, timing: FeedTiming, message: &FeedMessage) -> bool {
+    fn is_stale(self, timing: FeedTiming, message: &FeedMessage) -> bool {
         let age = Duration::from_millis(message.age_ms);
         match self {
             Self::Leader | Self::Source | Self::ListSource => timing.is_stale(age, message.hops),
@@ -50,32 +50,32 @@
 
 /// Why another host's answer is of no use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct PeerFault {
+pub(crate) struct PeerError {
     pub(crate) reason: SkipReason,
-    pub(crate) why: &'static str,
+    pub(crate) detail: &'static str,
 }
 
-impl PeerFault {
-    fn outdated(why: &'static str) -> Self {
-        Self { reason: SkipReason::Stale, why }
+impl PeerError {
+    fn stale(detail: &'static str) -> Self {
+        Self { reason: SkipReason::Stale, detail }
     }
 }
 
-impl From<ExchangeError> for PeerFault {
+impl From<ExchangeError> for PeerError {
     fn from(fault: ExchangeError) -> Self {
-        Self { reason: SkipReason::Failed, why: fault.0 }
+        Self { reason: SkipReason::Failed, detail: fault.0 }
     }
 }
 
 /// A question to another host.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct PeerQuestion {
+pub(crate) struct PeerRequest {
     pub(crate) role: PeerRole,
     pub(crate) kind: ObjectKind,
     /// The revision after which changes are asked for; none asks for everything.
     pub(crate) after: Option<StoreRevision>,
     pub(crate) timing: FeedTiming,
-    pub(crate) asked_at: TimePoint,
+    pub(crate) sent_at: TimePoint,
 }
 
 /// Asks other hosts over one kept connection.
@@ -94,24 +94,24 @@
     /// # Errors
     ///
     /// What is wrong, if it does not answer, may not tell, or knows only what is too old.
-    pub(crate) async fn ask(
+    pub(crate) async fn fetch_update(
         &mut self,
         host: &HostRecord,
-        question: PeerQuestion,
-    ) -> Result<FeedUpdate<StoreObject>, PeerFault> {
-        let PeerQuestion { role, kind, after, timing, asked_at } = question;
+        request: PeerRequest,
+    ) -> Result<FeedUpdate<StoreObject>, PeerError> {
+        let PeerRequest { role, kind, after, timing, sent_at } = request;
         let wait = role.wait(timing);
         let query = FeedQuery { kind, after, wait };
         let request = build_request(Method::GET, host.address, &query.to_path(), "")?;
-        let response = self.client.call(host.address, request, role.limit(timing)).await?;
+        let response = self.client.call(host.address, request, role.timeout(timing)).await?;
         if response.status() != StatusCode::OK {
-            return Err(PeerFault::outdated("it does not read the store"));
+            return Err(PeerError::stale("it does not read the store"));
         }
         let message: FeedMessage =
             serde_json::from_slice(response.body()).map_err(|_error| ExchangeError("it can't be understood"))?;
-        if role.is_too_old(timing, &message) {
-            return Err(PeerFault::outdated("what it knows is too old"));
+        if role.is_stale(timing, &message) {
+            return Err(PeerError::stale("what it knows is too old"));
         }
-        Ok(message.into_news(asked_at, wait))
+        Ok(message.into_update(sent_at, wait))
     }
 }
--- a/crates/hollyhook_gateway/src/store/endpoint_watch.rs
+++ b/crates/hollyhook_gateway/src/store/endpoint_watch.rs
@@ -93,22 +93,22 @@
         }
         for change in &news.changes {
             if let Some(object) = &change.object {
-                self.context.quarantine.read_entry(object);
+                self.context.quarantine.load_entry(object);
                 self.upsert(object);
             } else {
-                self.context.quarantine.forget_entry(&change.name);
+                self.context.quarantine.remove_entry(&change.name);
                 self.malformed.remove(&change.name);
                 self.doubtful.remove(&change.name);
                 self.miss(&change.name);
             }
         }
         self.settle_doubtful();
-        self.context.quarantine.note_gone(&self.context.endpoints.take_lost());
-        self.context.rollouts.note_versions();
+        self.context.quarantine.confirm_crashes(&self.context.endpoints.take_lost());
+        self.context.rollouts.check_versions();
         QuarantineWriter::wake(&self.context);
         if news.is_snapshot {
             self.context.wait_for_versions().await;
-            self.context.note_endpoints_listed();
+            self.context.mark_endpoints_listed();
         }
         Ok(!news.changes.is_empty())
     }
@@ -190,7 +190,7 @@
             }
             Err(error) => {
                 // Whoever wrote it, it names no endpoint that could be used.
-                self.context.endpoints.forget_entry(&object.name, "malformed");
+                self.context.endpoints.remove_entry(&object.name, "malformed");
                 let logged = self.malformed.insert(Name::clone(&object.name), object.revision);
                 if logged != Some(object.revision) {
                     tracing::error!(%error, entry = %object.name, revision = object.revision, "endpoint.malformed");
@@ -202,7 +202,7 @@
     fn miss(&mut self, entry: &Name) {
         let is_gone = lock(&self.membership).mark_missing(self.context.timer.now(), entry);
         if is_gone {
-            self.context.endpoints.forget_entry(entry, "removed");
+            self.context.endpoints.remove_entry(entry, "removed");
         } else {
             tracing::info!(%entry, "endpoint.kept");
         }
@@ -222,9 +222,10 @@
     for record in present.filter_map(|object| hollyhook_platform::decode_endpoint(object).ok()) {
         context.endpoints.upsert(record);
     }
-    context.rollouts.note_versions();
-    if !context.rollouts.has_unvetted() && site.services().all(|service| context.endpoints.has_live(service)) {
-        context.note_endpoints_listed();
+    context.rollouts.check_versions();
+    if !context.rollouts.has_unchecked_versions() && site.services().all(|service| context.endpoints.has_live(service))
+    {
+        context.mark_endpoints_listed();
     }
     objects.len()
 }
@@ -239,6 +240,6 @@
     context.timer.wait(due.since(context.timer.now())).await;
     let lapsed = lock(&membership).take_expired(context.timer.now());
     for entry in lapsed {
-        context.endpoints.forget_entry(&entry, "lapsed");
+        context.endpoints.remove_entry(&entry, "lapsed");
     }
 }
--- a/crates/hollyhook_gateway/src/store/feed_reader.rs
+++ b/crates/hollyhook_gateway/src/store/feed_reader.rs
@@ -10,7 +10,7 @@
 use super::page_list::PageList;
 use super::{StoreClient, StoreError};
 use crate::gateway::GatewayContext;
-use crate::peer::{PeerClient, PeerFault, PeerQuestion, PeerRole};
+use crate::peer::{PeerClient, PeerError, PeerRequest, PeerRole};
 
 /// The least that a watch waits at a host that reads for others, also where what it knows has grown old: a call that
 /// returns at once is charged and seldom brings anything.
@@ -111,7 +111,7 @@
             Err(error) => {
                 let is_away = !matches!(error, StoreError::HistoryGone);
                 if is_away {
-                    self.context.feed.forgive();
+                    self.context.feed.restore_stale_sources();
                 }
                 if is_away && let Some(mut news) = self.ask_hosts(PeerRole::Helper, &self.helpers()).await {
                     self.context.board.count("helped_by_hosts");
@@ -159,23 +159,23 @@
         self.revision = self.revision.max(Some(news.revision));
         self.era = news.revision.era;
         self.confirmed_until = news.confirmed_until;
-        self.context.feed.take(self.kind, news);
+        self.context.feed.apply(self.kind, news);
     }
 
     /// What the first of these hosts knows that is of use; the others are passed over for a while.
     pub(super) async fn ask_hosts(&mut self, role: PeerRole, hosts: &[HostRecord]) -> Option<FeedUpdate<StoreObject>> {
         for host in hosts {
-            let question = PeerQuestion {
+            let question = PeerRequest {
                 role,
                 kind: self.kind,
                 after: self.revision,
                 timing: self.context.feed_timing(),
-                asked_at: self.context.timer.now(),
+                sent_at: self.context.timer.now(),
             };
-            match self.peers.ask(host, question).await {
+            match self.peers.fetch_update(host, question).await {
                 Ok(news) if news.revision.era < self.context.feed.era() => {
-                    let why = "it has not heard that the store came back from a copy";
-                    self.pass_over(role, host, PeerFault { reason: SkipReason::Stale, why });
+                    let detail = "it has not heard that the store came back from a copy";
+                    self.pass_over(role, host, PeerError { reason: SkipReason::Stale, detail });
                 }
                 Ok(news) => {
                     self.note_era(host, &news);
@@ -190,22 +190,22 @@
     /// Takes in the era of the store that another host heard of.
     fn note_era(&self, host: &HostRecord, news: &FeedUpdate<StoreObject>) {
         let (before, era) = (self.context.feed.era(), news.revision.era);
-        if era > 0 && self.context.feed.judge_era(Some(era)) == EraVerdict::Newer {
+        if era > 0 && self.context.feed.observe_era(Some(era)) == EraVerdict::Newer {
             tracing::info!(before, era, told_by = %host.host, "store.era");
         }
     }
 
-    fn pass_over(&self, role: PeerRole, host: &HostRecord, fault: PeerFault) {
+    fn pass_over(&self, role: PeerRole, host: &HostRecord, fault: PeerError) {
         let now = self.context.timer.now();
         match role {
             PeerRole::Leader | PeerRole::Source | PeerRole::ListSource => {
-                tracing::info!(leader = %host.host, kind = self.kind.as_str(), reason = fault.why, "leader.passed_over");
+                tracing::info!(leader = %host.host, kind = self.kind.as_str(), reason = fault.detail, "leader.passed_over");
                 self.context.board.count("leaders_passed_over");
-                self.context.feed.pass_over(now, &host.host, fault.reason);
+                self.context.feed.skip_source(now, &host.host, fault.reason);
             }
             PeerRole::Helper => {
-                tracing::info!(helper = %host.host, kind = self.kind.as_str(), reason = fault.why, "helper.passed_over");
-                self.context.feed.pass_over_helper(now, &host.host, fault.reason);
+                tracing::info!(helper = %host.host, kind = self.kind.as_str(), reason = fault.detail, "helper.passed_over");
+                self.context.feed.skip_helper(now, &host.host, fault.reason);
             }
         }
     }
--- a/crates/hollyhook_gateway/src/store/quarantine_writer.rs
+++ b/crates/hollyhook_gateway/src/store/quarantine_writer.rs
@@ -59,13 +59,13 @@
     async fn write(&mut self) -> Result<(), StoreError> {
         let name = self.context.endpoints.crash_record_entry().ok_or(StoreError::Away("no endpoint is registered"))?;
         let entry = self.client.read(ObjectKind::Endpoint, &name).await?;
-        self.context.quarantine.read_entry(&entry);
+        self.context.quarantine.load_entry(&entry);
         let Some(records) = self.records_to_write() else {
             return Ok(());
         };
         self.client.write_crashes(&entry, &records).await?;
         tracing::info!(entry = %name, count = records.len(), "quarantine.written");
-        self.context.quarantine.note_entry(&name, records);
+        self.context.quarantine.set_entry(&name, records);
         Ok(())
     }
 
--- a/crates/hollyhook_gateway/src/store/rollout_watch.rs
+++ b/crates/hollyhook_gateway/src/store/rollout_watch.rs
@@ -45,9 +45,9 @@
         loop {
             if !self.is_needed() {
                 self.revision = None;
-                let signal = self.context.rollouts.signal();
+                let signal = self.context.rollouts.unchecked_signal();
                 // It may have come since it was asked whether this is needed.
-                if !self.context.rollouts.has_unvetted() {
+                if !self.context.rollouts.has_unchecked_versions() {
                     let check = if self.context.feed.is_listing() { START_CHECK } else { IDLE_CHECK };
                     let _woken = self.context.timer.within(check, signal).await;
                 }
@@ -67,11 +67,11 @@
         let rollouts = &self.context.rollouts;
         // Until the others are listed, each host takes itself for one that reads the store.
         let is_reader = || !self.context.feed.is_listing() && is_reader(&self.context);
-        rollouts.is_on() && (rollouts.has_unvetted() || rollouts.is_awaited() || is_reader())
+        rollouts.is_enabled() && (rollouts.has_unchecked_versions() || rollouts.is_watch_needed() || is_reader())
     }
 
     async fn step(&mut self) -> Result<(), StoreError> {
-        match self.revision.filter(|_| !self.context.rollouts.has_unvetted()) {
+        match self.revision.filter(|_| !self.context.rollouts.has_unchecked_versions()) {
             Some(revision) => self.watch(revision).await?,
             None => self.list().await?,
         }
@@ -80,17 +80,17 @@
     }
 
     async fn list(&mut self) -> Result<(), StoreError> {
-        let looked_for = self.context.rollouts.unvetted();
+        let looked_for = self.context.rollouts.unchecked_versions();
         let (objects, revision) = self.client.list(ObjectKind::Rollout, CALL_TIMEOUT).await?;
         self.context.rollouts.confirm(self.context.timer.now());
-        self.context.rollouts.take_list(&objects, &looked_for);
+        self.context.rollouts.apply_list(&objects, &looked_for);
         self.revision = Some(revision);
         Ok(())
     }
 
     async fn watch(&mut self, revision: StoreRevision) -> Result<(), StoreError> {
-        let wait = if self.context.rollouts.is_awaited() { ACTIVE_WAIT } else { QUIET_WAIT };
-        let signal = self.context.rollouts.signal();
+        let wait = if self.context.rollouts.is_watch_needed() { ACTIVE_WAIT } else { QUIET_WAIT };
+        let signal = self.context.rollouts.unchecked_signal();
         let watch = self.client.watch(ObjectKind::Rollout, revision, wait, wait + CALL_TIMEOUT);
         let outcome = match select(Box::pin(watch), signal).await {
             Either::Left((outcome, _signal)) => outcome?,
@@ -101,12 +101,12 @@
         let (changes, revision) = outcome;
         for change in changes {
             if change.is_gone || change.object.is_deleting {
-                self.context.rollouts.forget(&change.object.name);
+                self.context.rollouts.withdraw(&change.object.name);
             } else {
-                self.context.rollouts.take(&change.object);
+                self.context.rollouts.apply(&change.object);
             }
         }
-        self.context.rollouts.note_versions();
+        self.context.rollouts.check_versions();
         self.revision = Some(revision);
         Ok(())
     }
--- a/crates/hollyhook_gateway/src/store/store_client.rs
+++ b/crates/hollyhook_gateway/src/store/store_client.rs
@@ -11,7 +11,7 @@
 
 use crate::gateway::GatewayContext;
 use crate::net::{ExchangeError, PersistentClient, build_request};
-use crate::peer::FeedBoard;
+use crate::peer::FeedState;
 
 /// How long a call about hosts may take; nobody waits for it.
 const HOST_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -53,7 +53,7 @@
 pub(crate) struct StoreClient {
     client: PersistentClient,
     /// Where the eras of the store are known that others heard of.
-    feed: Arc<FeedBoard>,
+    feed: Arc<FeedState>,
     /// Where the store is now.
     address: Box<dyn Fn() -> SocketAddr + Send + Sync>,
     /// The store whose revisions the last list gave.
@@ -244,7 +244,7 @@
         let address = (self.address)();
         let request = build_request(method, address, path, body)?;
         let response = self.client.call(address, request, limit).await?;
-        let era = self.judge_era(&response)?;
+        let era = self.observe_era(&response)?;
         match response.status() {
             StatusCode::OK | StatusCode::CREATED => Ok((era, response.into_body())),
             StatusCode::GONE => Err(StoreError::HistoryGone),
@@ -255,10 +255,10 @@
     }
 
     /// The era of an answer, if it may be believed.
-    fn judge_era(&self, response: &Response<Bytes>) -> Result<u64, StoreError> {
+    fn observe_era(&self, response: &Response<Bytes>) -> Result<u64, StoreError> {
         let told = hollyhook_platform::store_era(response.headers()).map_err(StoreError::Malformed)?;
         let before = self.feed.era();
-        match self.feed.judge_era(told) {
+        match self.feed.observe_era(told) {
             EraVerdict::Same => {}
             EraVerdict::Newer => tracing::info!(before, era = told, "store.era"),
             EraVerdict::Older | EraVerdict::Missing if !response.status().is_success() => {}
