--- a/crates/hollyhook_gateway/src/gateway/endpoint_directory.rs
+++ b/crates/hollyhook_gateway/src/gateway/endpoint_directory.rs
@@ -12,21 +12,23 @@
 use crate::pool::ConnectionPool;
 use crate::sync::lock;
 
-/// How much fuller, in requests a place, the own zone may be before another one pays. Another zone costs little time,
-/// but what runs there is lost when the zones are cut from each other.
+/// By how much the load in the own zone may exceed that of other zones, in requests per slot, before requests are sent
+/// there. Another zone adds little latency, but requests that run there are lost when the zones are partitioned.
 const ZONE_PREFERENCE: f64 = 0.25;
-/// Hosts among which a rate limit is divided before they are listed.
+/// Number of hosts among which a rate limit is divided before the hosts have been listed.
 const UNLISTED_HOSTS: usize = 16;
 
-/// Why no endpoint takes a request.
+/// Why no endpoint accepts a request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RoutingFailure {
     pub(crate) reason: StopReason,
-    /// How long it stays so, as far as that is known; zero if not.
+    /// How long this is expected to last; zero if not known.
     pub(crate) pause: Duration,
 }
 
-/// The endpoints that this host knows, with the connections to them and the counts of how attempts ended.
+/// The endpoints that this host knows.
+///
+/// Also closes the pooled connections of endpoints that are gone, and counts the outcomes of attempts.
 #[derive(Debug)]
 pub(crate) struct EndpointDirectory {
     timer: Arc<TimerService>,
@@ -35,9 +37,9 @@
     feed: Arc<FeedState>,
     site: Arc<Mutex<SiteState>>,
     table: Mutex<EndpointTable>,
-    /// Until when it is known that nothing else changed; none before the first list.
+    /// Time until which the table is known to hold all changes; `None` before the first list.
     confirmed: Mutex<Option<TimePoint>>,
-    /// Endpoints that went without having said that they leave, until they are asked for.
+    /// Endpoints that are gone without having announced that they leave, until they are taken.
     lost: Mutex<Vec<EndpointId>>,
 }
 
@@ -45,12 +47,12 @@
     /// The name that the service is registered under.
     pub(crate) const NAME: &'static str = "endpoints";
 
-    /// An empty directory for a host of that zone, of services that are registered; `site` names that of the
+    /// An empty directory for a host of an availability zone; `site` names the registered service that holds the
     /// configuration.
     ///
     /// # Errors
     ///
-    /// `Internal` if one of them is not registered.
+    /// `Internal` if a service that the directory uses is not registered.
     pub(crate) fn new(registry: &ServiceRegistry, site: &str, zone: &ZoneName) -> Result<Self> {
         Ok(Self {
             timer: registry.find(TimerService::NAME)?,
@@ -64,22 +66,24 @@
         })
     }
 
+    /// The table of endpoints, locked.
     pub(crate) fn table(&self) -> MutexGuard<'_, EndpointTable> {
         lock(&self.table)
     }
 
-    /// Notes until when it is known that nothing else changed.
+    /// Records that the table holds all changes until `at`.
     pub(crate) fn confirm(&self, at: TimePoint) {
         let mut confirmed = lock(&self.confirmed);
         *confirmed = (*confirmed).max(Some(at));
     }
 
-    /// How old what this host knows of endpoints is, in milliseconds; none before the first list.
+    /// The age of what this host knows of the endpoints, in milliseconds; `None` before the first list.
     pub(crate) fn known_ms(&self) -> Option<u64> {
         let confirmed = *lock(&self.confirmed);
         confirmed.map(|at| self.timer.now().since(at).as_millis() as u64)
     }
 
+    /// Adds or updates an endpoint, and removes the endpoints that its registration displaces.
     pub(crate) fn upsert(&self, record: EndpointRecord) {
         let site = self.known_site();
         self.upsert_into(&mut self.table(), site.as_deref(), record);
@@ -90,7 +94,7 @@
     }
 
     fn upsert_into(&self, table: &mut EndpointTable, site: Option<&SiteIndex>, mut record: EndpointRecord) {
-        // Its registration stays what it was, also if the store shows it again out of an older copy.
+        // A known endpoint keeps the revision at which it registered, even if the store is restored from an older copy.
         if let Some(known) = table.get(&record.id) {
             record.registered = known.registered;
         }
@@ -98,7 +102,7 @@
         if table.is_displaced(&record, is_known) {
             return;
         }
-        // Of a service that nobody knows, anybody may have written it.
+        // A registration for an unknown service displaces no endpoint, since anyone may have written it.
         let displaced = if is_known(&record.service) { table.displaced_by(&record) } else { Vec::new() };
         for id in displaced {
             self.record_lost(table, &id);
@@ -120,7 +124,7 @@
         }
     }
 
-    /// Forgets what registered under a name; `reason` is for the log.
+    /// Removes the endpoints that registered under an entry name; `reason` is logged.
     pub(crate) fn remove_entry(&self, entry: &str, reason: &'static str) {
         let mut table = self.table();
         for id in table.registered_as(entry) {
@@ -132,25 +136,27 @@
         }
     }
 
+    /// Remembers an endpoint that is about to be removed, if it is live and so did not announce that it leaves.
     fn record_lost(&self, table: &EndpointTable, id: &EndpointId) {
         if table.get(id).is_some_and(|record| record.state == EndpointState::Live) {
             lock(&self.lost).push(EndpointId::clone(id));
         }
     }
 
-    /// The endpoints that went without having said that they leave, since this was asked last.
+    /// Takes the endpoints that are gone, since the last call, without having announced that they leave.
     pub(crate) fn take_lost(&self) -> Vec<EndpointId> {
         std::mem::take(&mut *lock(&self.lost))
     }
 
-    /// Takes in when the endpoint started that answers in the place of `id`; tells whether that is a later start, which
-    /// replaces this one.
+    /// Records when the endpoint started that answered a probe of `id`, and returns whether `id` has restarted.
+    ///
+    /// The later incarnation then replaces the known one.
     pub(crate) fn record_restart(&self, id: &EndpointId, started: Option<u64>) -> bool {
         if started.is_none() {
             return false;
         }
         let site = self.known_site();
-        // One lock for both steps: an endpoint that is forgotten in between must not be put back.
+        // Locked for the look-up and the update together, so that an endpoint removed in between is not added again.
         let mut table = self.table();
         let known = table.get(id).cloned();
         let Some(known) = known.filter(|known| known.started.is_some() && known.started < started) else {
@@ -166,7 +172,9 @@
         true
     }
 
-    /// Takes in that an endpoint says itself that it leaves; its entry may say so later, or be gone without a word.
+    /// Records that an endpoint itself announced that it is leaving.
+    ///
+    /// Its entry in the store may be updated later, or be removed without having been updated.
     pub(crate) fn record_leaving(&self, id: &EndpointId) {
         if !self.table().mark_leaving(self.timer.now(), id) {
             return;
@@ -175,7 +183,7 @@
         tracing::info!(endpoint = %id, known_ms = self.known_ms(), "endpoint.leaving");
     }
 
-    /// Takes in on which terms an endpoint says that it takes requests.
+    /// Applies the terms that an endpoint advertised in an answer.
     pub(crate) fn apply_terms(&self, id: &EndpointId, terms: AdvertisedTerms) {
         if terms.is_leaving {
             self.record_leaving(id);
@@ -195,26 +203,26 @@
         }
     }
 
-    /// Takes in that an endpoint named no rate limit in its answer to a caller's request, sent at `sent_at`.
+    /// Ends the rate limit of an endpoint whose answer to a caller's request, sent at `sent_at`, advertised none.
     ///
-    /// Its answers to this host's own questions name none at any time, and must not end one.
+    /// Answers to this host's own probes never advertise a rate limit, and must not end one.
     pub(crate) fn end_rate_limit(&self, id: &EndpointId, sent_at: TimePoint) {
         if self.table().terms_mut().clear_rate_limit(id, sent_at) {
             tracing::info!(endpoint = %id, "endpoint.unlimited");
         }
     }
 
-    /// The entry at which hosts note what all of them have to know; the same at all hosts that know the same endpoints.
+    /// The store entry in which hosts share crash records, the same at all hosts that know the same live endpoints.
     pub(crate) fn crash_record_entry(&self) -> Option<Name> {
         self.table().crash_record_entry()
     }
 
-    /// Whether an endpoint of a service is known that takes work.
+    /// Whether a live endpoint of a service is known.
     pub(crate) fn has_live(&self, service: &str) -> bool {
         self.table().iter().any(|record| &*record.service == service && record.state == EndpointState::Live)
     }
 
-    /// Chooses an endpoint by what this host knows, and counts a request as open there.
+    /// Chooses an endpoint without probing any, and counts a request as open there; `None` if no endpoint accepts it.
     pub(crate) fn open_any(&self, query: &RouteQuery<'_>) -> Option<EndpointRecord> {
         let now = self.timer.now();
         let mut table = self.table();
@@ -223,7 +231,9 @@
         table.try_open(now, &id).then_some(record)
     }
 
-    /// Why no endpoint is left for a request.
+    /// Why no endpoint accepts a request.
+    ///
+    /// The request counts as held back if all endpoints for it are paused or have reached their rate limit.
     pub(crate) fn routing_failure(&self, query: &RouteQuery<'_>) -> RoutingFailure {
         match self.table().shortest_pause(self.timer.now(), query) {
             Some(pause) => {
@@ -234,38 +244,34 @@
         }
     }
 
-    /// Up to `most` endpoints worth asking for their load, in the order that all hosts share for `number`.
-    pub(crate) fn shortlist(&self, query: &RouteQuery<'_>, number: u64, most: usize) -> Vec<EndpointRecord> {
-        self.table().shortlist(self.timer.now(), query, number, most)
+    /// Up to `limit` endpoints worth probing for their load, in the rendezvous order that all hosts share for `key`.
+    pub(crate) fn shortlist(&self, query: &RouteQuery<'_>, key: u64, limit: usize) -> Vec<EndpointRecord> {
+        self.table().shortlist(self.timer.now(), query, key, limit)
     }
 
-    /// The endpoints that a prompt may have gone to.
-    pub(crate) fn likely_holders(
-        &self,
-        query: &RouteQuery<'_>,
-        number: u64,
-        counts: HolderLimits,
-    ) -> Vec<EndpointRecord> {
-        self.table().likely_holders(self.timer.now(), query, number, counts)
+    /// The endpoints that may hold the prompt with this rendezvous key.
+    pub(crate) fn likely_holders(&self, query: &RouteQuery<'_>, key: u64, limits: HolderLimits) -> Vec<EndpointRecord> {
+        self.table().likely_holders(self.timer.now(), query, key, limits)
     }
 
-    /// Brings what is known of an endpoint up to date.
+    /// Brings a copied record up to date, unless its endpoint is no longer known.
     pub(crate) fn refresh(&self, record: &mut EndpointRecord) {
         if let Some(known) = self.table().as_of(self.timer.now(), &record.id) {
             *record = known;
         }
     }
 
-    /// Counts a request as open at an endpoint that was chosen from a shortlist, if that takes one now; tells whether it does.
+    /// Counts a request as open at an endpoint if the endpoint accepts one now, and returns whether it does.
     pub(crate) fn try_open(&self, id: &str) -> bool {
         self.table().try_open(self.timer.now(), id)
     }
 
+    /// Stores the load report of an endpoint.
     pub(crate) fn record_load(&self, id: &str, load: LoadReport) {
         self.table().update_load(id, load);
     }
 
-    /// Takes in what became of an attempt.
+    /// Records the outcome of an attempt at an endpoint; `failure` is `None` if the attempt succeeded.
     pub(crate) fn record_outcome(&self, id: &EndpointId, failure: Option<AttemptFailure>) {
         self.board.count(failure.map_or("attempts_succeeded", attempt_counter));
         let mut table = self.table();
@@ -291,7 +297,7 @@
     }
 }
 
-/// The counter of attempts that ended so.
+/// The name of the metric that counts attempts with this failure.
 fn attempt_counter(failure: AttemptFailure) -> &'static str {
     match failure {
         AttemptFailure::NotConnected => "attempts_not_connected",
--- a/crates/hollyhook_gateway/src/gateway/gateway_context.rs
+++ b/crates/hollyhook_gateway/src/gateway/gateway_context.rs
@@ -21,26 +21,29 @@
 use crate::pool::ConnectionPool;
 use crate::sync::lock;
 
-/// How long watches may hear nothing of changes while the store drops its history, and what the way to it and back
-/// may take; both shorten the time for which keys are honoured without confirmation.
+/// Margin by which the time is shortened for which API keys are accepted without confirmation. It covers how long
+/// watches may miss changes while the store compacts its history, and the round trip to the store.
 const CONFIRMATION_MARGIN: Duration = Duration::from_millis(1_250);
-/// How long after its start a process lets requests wait for what it has yet to read from the store; a start takes
-/// about a tenth of a second on the smallest hosts, and callers come back in the moment in which hosts are back.
+/// How long after the start of the process a request may wait for the configuration and the endpoints to be read from
+/// the store. Reading both takes about a tenth of a second on the smallest hosts, and callers return at the moment at
+/// which hosts are up again.
 const START_WAIT: Duration = Duration::from_millis(600);
-/// How often such a request looks.
+/// How often a waiting request checks whether both have been read.
 const START_CHECK: Duration = Duration::from_millis(10);
 
-/// How long after its start a process waits for the other hosts to be listed before it watches the store: they write their
-/// entries within 0.4 s of each other, and read them half a second later. What changes meanwhile is heard that much later,
-/// well within the bounds of any site.
+/// How long after its start a process waits for the other hosts to be listed before it watches the store. Hosts that
+/// start together write their entries within 0.4 s of each other, and read them half a second later. Changes in the
+/// meantime are received that much later, well within the bounds of any site.
 const LISTING_WAIT: Duration = Duration::from_millis(1_200);
-/// The same before it reads the rest of a first list of many pages, with the first of which it serves. Where hundreds of hosts
-/// start at once, the store's link takes some seconds to tell all of them of each other.
+/// [`LISTING_WAIT`] before a process reads the rest of a first list of many pages; it serves callers with the first
+/// page already. Where hundreds of hosts start at once, the store's link takes some seconds to send the list of hosts
+/// to all of them.
 const FIRST_LIST_WAIT: Duration = Duration::from_secs(3);
-/// How often the first list of endpoints looks; callers wait for it, and both are read at the same time.
+/// How often the task that reads the first list of endpoints checks whether the configuration and the roll-out orders
+/// have been read. Short, since callers wait for that list and all of them are read at the same time.
 const SITE_CHECK: Duration = Duration::from_millis(2);
 
-/// What the parts of a gateway share, as the registry of services names it.
+/// The state and services that the parts of a gateway share.
 #[derive(Debug)]
 pub(crate) struct GatewayContext {
     pub(crate) host: Name,
@@ -63,11 +66,11 @@
     const SITE: &'static str = "site";
     const SETTINGS: &'static str = "settings";
 
-    /// Registers the services that the parts of a gateway find by name.
+    /// Registers the services that the parts of a gateway share.
     ///
     /// # Errors
     ///
-    /// `Conflict` if one is registered already.
+    /// `Conflict` if one of the services is registered already.
     pub(crate) fn register(registry: &ServiceRegistry, settings: &GatewaySettings) -> Result<()> {
         let timer = registry.register(TimerService::NAME, TimerService::from(WallClock::start()))?;
         registry.register(ConnectionPool::NAME, ConnectionPool::new(TimerService::clone(&timer)))?;
@@ -85,11 +88,11 @@
         Ok(())
     }
 
-    /// Finds them.
+    /// Finds the registered services and creates a context from them.
     ///
     /// # Errors
     ///
-    /// `Internal` if one is not registered.
+    /// `Internal` if one of the services is not registered.
     pub(crate) fn find(registry: &ServiceRegistry, settings: &GatewaySettings) -> Result<Self> {
         Ok(Self {
             host: Name::clone(&settings.host),
@@ -109,38 +112,40 @@
         })
     }
 
+    /// The current phase of the graceful shutdown.
     pub(crate) fn phase(&self) -> StopPhase {
         let live = lock(&self.live);
         live.stop_began_at.map_or(StopPhase::Serving, |at| live.stop_plan().phase(self.timer.now().since(at)))
     }
 
-    /// The plan of a stop.
+    /// The plan of a graceful shutdown, for the current grace period.
     pub(crate) fn stop_plan(&self) -> StopPlan {
         lock(&self.live).stop_plan()
     }
 
-    /// How long a leaving endpoint may get new work.
+    /// How long an endpoint that leaves may still get new requests.
     pub(crate) fn drain_bound(&self) -> Duration {
         lock(&self.live).bounds.drain
     }
 
-    /// How long after its way to the store is whole again this host has to act on all that was acknowledged before.
+    /// The bound, from when this host can reach the store again, within which it must act on all changes that the store
+    /// acknowledged before.
     pub(crate) fn contact_bound(&self) -> Duration {
         lock(&self.live).bounds.contact
     }
 
-    /// How hosts wait for each other and for the store.
+    /// How long hosts wait for each other and for the store.
     pub(crate) fn feed_timing(&self) -> FeedTiming {
         let bounds = &lock(&self.live).bounds;
         FeedTiming::new(bounds.drain.min(bounds.config))
     }
 
-    /// Where the platform's store is.
+    /// The address of the platform's store.
     pub(crate) fn store_address(&self) -> SocketAddr {
         lock(&self.live).store
     }
 
-    /// Takes in settings that changed while the process runs.
+    /// Applies the settings that may change while the process runs.
     pub(crate) fn reload(&self, settings: &GatewaySettings) {
         let mut live = lock(&self.live);
         self.retries.set_bounds(settings.bounds.retry);
@@ -149,58 +154,65 @@
         live.store = settings.store;
     }
 
-    /// Whether a request whose caller waits for `timeout` is still begun.
+    /// Whether a request whose caller waits for `timeout` is admitted, also during a graceful shutdown.
     pub(crate) fn is_admitted(&self, kind: RequestKind, timeout: Duration) -> bool {
         let live = lock(&self.live);
-        let passed = live.stop_began_at.map(|at| self.timer.now().since(at));
-        passed.is_none_or(|passed| live.stop_plan().is_admitted(kind, timeout, passed))
+        let elapsed = live.stop_began_at.map(|at| self.timer.now().since(at));
+        elapsed.is_none_or(|elapsed| live.stop_plan().is_admitted(kind, timeout, elapsed))
     }
 
-    /// Waits for the first configuration and list of endpoints of a process that has just started.
+    /// Waits, shortly after the start of the process, until the configuration and the endpoints have been read.
     pub(crate) async fn wait_for_start(&self) {
         let has_started = || self.site().is_some() && self.has_endpoints.load(Ordering::Relaxed);
         self.wait_while_starting(START_CHECK, has_started).await;
     }
 
-    /// Waits for the first configuration, for a while: what registers is judged by the services that it names.
+    /// Waits, shortly after the start of the process, until the configuration has been read.
+    ///
+    /// Whether a registration is valid depends on the services in the configuration.
     pub(crate) async fn wait_for_site(&self) {
         self.wait_while_starting(SITE_CHECK, || self.site().is_some()).await;
     }
 
-    /// Waits until it is known which versions of services are on order, for a while: before that, the usual version alone gets
-    /// requests, and which one that is can't be told from the endpoints.
+    /// Waits, shortly after the start of the process, until all versions have been looked up among the roll-out orders.
+    ///
+    /// Until then only the version of most endpoints gets requests, which need not be the one that should get them.
     pub(crate) async fn wait_for_versions(&self) {
         self.wait_while_starting(SITE_CHECK, || !self.rollouts.has_unchecked_versions()).await;
     }
 
-    /// Waits until the other hosts are listed, for a while: most learn from these, and each watch before that is a call to the
-    /// store more.
+    /// Waits, shortly after the start of the process, until the other hosts have been listed.
+    ///
+    /// Most hosts get changes from other hosts; each watch before the list costs an additional call to the store.
     pub(crate) async fn wait_for_hosts(&self) {
         self.wait_while_listing(LISTING_WAIT).await;
     }
 
-    /// Waits until the other hosts are listed, for longer: one of them may tell what would be read in many pages.
+    /// Waits longer than [`wait_for_hosts`](Self::wait_for_hosts) until the other hosts have been listed.
+    ///
+    /// One of them may send a list that would otherwise be read from the store in many pages.
     pub(crate) async fn wait_for_list_source(&self) {
         self.wait_while_listing(FIRST_LIST_WAIT).await;
     }
 
-    /// Waits while the other hosts are being listed for the first time, until so long after the start of the process.
-    async fn wait_while_listing(&self, most: Duration) {
-        self.wait_until(TimePoint::ZERO + most, START_CHECK, || !self.feed.is_listing()).await;
+    /// Waits while the other hosts are being listed for the first time, until `limit` after the start of the process.
+    async fn wait_while_listing(&self, limit: Duration) {
+        self.wait_until(TimePoint::ZERO + limit, START_CHECK, || !self.feed.is_listing()).await;
     }
 
-    /// Waits until something holds, which is looked at so often, or the process is no longer new.
-    async fn wait_while_starting(&self, check: Duration, holds: impl Fn() -> bool) {
-        self.wait_until(TimePoint::ZERO + START_WAIT, check, holds).await;
+    /// Waits until `is_done` returns true, but no longer than [`START_WAIT`] after the start of the process.
+    async fn wait_while_starting(&self, interval: Duration, is_done: impl Fn() -> bool) {
+        self.wait_until(TimePoint::ZERO + START_WAIT, interval, is_done).await;
     }
 
-    async fn wait_until(&self, limit: TimePoint, check: Duration, holds: impl Fn() -> bool) {
-        while self.timer.now() < limit && !holds() {
-            self.timer.wait(check).await;
+    /// Checks `is_done` at an interval until it returns true or the limit has passed.
+    async fn wait_until(&self, limit: TimePoint, interval: Duration, is_done: impl Fn() -> bool) {
+        while self.timer.now() < limit && !is_done() {
+            self.timer.wait(interval).await;
         }
     }
 
-    /// Begins the stop.
+    /// Begins the graceful shutdown, unless it has begun.
     pub(crate) fn begin_stop(&self) {
         lock(&self.live).stop_began_at.get_or_insert(self.timer.now());
     }
@@ -210,40 +222,47 @@
         lock(&self.site).site()
     }
 
-    /// How long ago the configuration in force was last known to be the newest.
+    /// How long ago the configuration in force was last confirmed to be the newest.
     pub(crate) fn site_age(&self) -> Option<Duration> {
         let confirmed = lock(&self.site).confirmed_at()?;
         Some(self.timer.now().since(confirmed))
     }
 
-    /// Whether no key can have been taken away for longer than keys may outlive it.
+    /// Whether the configuration was confirmed recently enough to accept API keys.
+    ///
+    /// If it was, no accepted key was revoked longer ago than the bound on accepting revoked keys.
     pub(crate) fn is_site_current(&self) -> bool {
         let bound = lock(&self.live).bounds.revoke.saturating_sub(CONFIRMATION_MARGIN);
         lock(&self.site).is_current(self.timer.now(), bound)
     }
 
+    /// Applies a configuration that was the newest in the store at `read_at`, in the given era of the store.
     pub(crate) fn adopt_site(&self, config: SiteConfig, read_at: TimePoint, era: u64) -> ConfigAdoption {
         lock(&self.site).adopt(config, read_at, era)
     }
 
+    /// Records that the configuration in force was the newest at `at`.
     pub(crate) fn confirm_site(&self, at: TimePoint) {
         lock(&self.site).confirm(at);
     }
 
-    /// Whether callers are wanted.
+    /// Whether the host reports to the load balancer that it is ready for callers.
     pub(crate) fn is_ready(&self) -> bool {
         let is_serving = self.phase() == StopPhase::Serving;
         is_serving && self.has_endpoints.load(Ordering::Relaxed) && self.is_site_current()
     }
 
+    /// Records that the endpoints have been read for the first time.
     pub(crate) fn mark_endpoints_listed(&self) {
         self.has_endpoints.store(true, Ordering::Relaxed);
     }
 
+    /// Counts the first send of a request, which adds to the retry budget of its service.
     pub(crate) fn count_first_send(&self, service: &Name) {
         self.retries.earn(service, self.timer.now());
     }
 
+    /// Whether the retry budget of a service allows one more retry; if so, the retry is counted.
     pub(crate) fn try_retry(&self, service: &Name) -> bool {
         self.retries.try_spend(service, self.timer.now())
     }
--- a/crates/hollyhook_gateway/src/gateway/gateway_process.rs
+++ b/crates/hollyhook_gateway/src/gateway/gateway_process.rs
@@ -13,9 +13,9 @@
 use crate::peer::{HostRegistrar, serve_peers};
 use crate::store::{EndpointWatch, RolloutWatch, SiteWatch};
 
-/// How often idle connections are looked through.
+/// How often idle connections past their keep-alive are closed.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a stopping gateway looks whether all requests have ended.
+/// How often a gateway that shuts down checks whether all requests have ended.
 const STOP_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A running gateway.
@@ -28,11 +28,13 @@
 }
 
 impl Gateway {
-    /// Starts a gateway; it answers callers when this returns, and serves them once it knows the configuration.
+    /// Starts a gateway.
+    ///
+    /// It accepts connections when this function returns, and serves callers once it has read the configuration.
     ///
     /// # Errors
     ///
-    /// `InvalidSetting` if an address can't be listened at.
+    /// `InvalidSetting` if the process can't listen at an address of the settings.
     pub fn start(settings: &GatewaySettings) -> Result<Self> {
         let registry = ServiceRegistry::default();
         GatewayContext::register(&registry, settings)?;
@@ -54,37 +56,38 @@
         Ok(Self { context, address, ready_address, metrics_address })
     }
 
-    /// Where it serves callers.
+    /// The address at which the gateway serves callers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where it answers whether it is ready.
+    /// The address at which the gateway answers readiness checks.
     pub fn ready_address(&self) -> SocketAddr {
         self.ready_address
     }
 
-    /// Where it serves metrics, if it does.
+    /// The address at which the gateway serves metrics; `None` if the settings name none.
     pub fn metrics_address(&self) -> Option<SocketAddr> {
         self.metrics_address
     }
 
-    /// Takes in settings that changed: the bounds and where the store is. What else changed needs a restart.
+    /// Applies changed settings: the bounds and the address of the store. Other changes take effect after a restart.
     pub fn reload(&self, settings: &GatewaySettings) {
         self.context.reload(settings);
         tracing::info!(store = %settings.store, "gateway.reloaded");
     }
 
-    /// Stops: tells the balancer, serves what still comes, lets what runs end within the grace time.
+    /// Shuts down gracefully, and returns whether all requests ended within the grace period.
     ///
-    /// Returns whether everything ended.
+    /// The host reports to the load balancer that it is not ready, serves the callers that still arrive, and waits for
+    /// the running requests.
     pub async fn drain(self) -> bool {
         let timer = &self.context.timer;
-        let ordered_at = timer.now();
+        let began_at = timer.now();
         self.context.begin_stop();
         tracing::info!(requests = self.context.load.requests(), "gateway.stopping");
         timer.wait(self.context.stop_plan().accept_period()).await;
-        while timer.now().since(ordered_at) < self.context.stop_plan().usable_grace() {
+        while timer.now().since(began_at) < self.context.stop_plan().usable_grace() {
             if self.context.load.requests() == 0 {
                 tracing::info!("gateway.stopped");
                 return true;
@@ -106,7 +109,8 @@
     Ok(Some(address))
 }
 
-/// Tells other hosts what this one reads of the store, and learns of them; not where the settings name no address for it.
+/// Serves this host's copy of the store to other hosts, and registers the host; does nothing if the settings name no
+/// address for peers.
 fn share_feed(settings: &GatewaySettings, context: &Arc<GatewayContext>) -> Result<()> {
     let Some(address) = settings.peer_listen else {
         return Ok(());
--- a/crates/hollyhook_gateway/src/gateway/known_rollout.rs
+++ b/crates/hollyhook_gateway/src/gateway/known_rollout.rs
@@ -5,35 +5,39 @@
 
 use super::unix_time::unix_millis;
 
-/// A roll-out, as far as this host knows.
+/// A roll-out as this host knows it.
 #[derive(Debug, Clone)]
 pub(crate) struct KnownRollout {
     pub(crate) order: RolloutOrder,
-    /// The order as the store holds it, and what was written of it there.
+    /// The order's object in the store.
     pub(crate) object: StoreObject,
+    /// The state in the store; `None` if none has been written.
     pub(crate) stored: Option<RolloutState>,
-    /// How far it is. It never goes back, also if the store does.
+    /// The furthest state that this host has read; it never goes back, even if the store is restored from an older
+    /// copy.
     pub(crate) state: Option<RolloutState>,
+    /// When this host learned of the state.
     pub(crate) state_since: TimePoint,
+    /// When a host first read the order.
     pub(crate) ordered_at: TimePoint,
-    /// Whether the operator took the order away.
+    /// Whether the operator removed the order.
     pub(super) is_withdrawn: bool,
-    /// What this host saw.
+    /// This host's evidence about the versions of the service.
     pub(super) evidence: TrialEvidence,
 }
 
 impl KnownRollout {
-    /// Whether it is being decided.
+    /// Whether the roll-out is undecided.
     pub(crate) fn is_active(&self) -> bool {
         !self.is_withdrawn && !self.state.is_some_and(RolloutState::is_final)
     }
 
-    /// Whether the store should hold another state than it does.
+    /// Whether the store has lost the state, which has to be written again.
     pub(crate) fn is_unwritten(&self) -> bool {
         !self.is_withdrawn && self.stored != self.state
     }
 
-    /// When it goes on.
+    /// The plan by which the roll-out changes its state.
     pub(crate) fn plan(&self) -> RolloutPlan {
         RolloutPlan {
             ordered_at: self.ordered_at,
@@ -43,17 +47,17 @@
         }
     }
 
-    /// What is to stand in the store for a state.
+    /// The status to write to the store for a state.
     pub(crate) fn status(&self, now: TimePoint, state: RolloutState) -> RolloutStatus {
         let age = now.since(self.ordered_at).as_millis() as u64;
         RolloutStatus { state, ordered_ms: Some(unix_millis().saturating_sub(age)) }
     }
 }
 
-/// When an order was first heard of: by the note of the host that heard of it, if there is one.
+/// When a host first read an order: as the status in the store states, or now if it states no time.
 pub(super) fn first_seen_at(now: TimePoint, order: &RolloutOrder, status: Option<&RolloutStatus>) -> TimePoint {
-    let noted = status.and_then(|status| status.ordered_ms);
-    let age = noted.map_or(0, |at| unix_millis().saturating_sub(at));
-    // Times of day may jump.
+    let stored = status.and_then(|status| status.ordered_ms);
+    let age = stored.map_or(0, |at| unix_millis().saturating_sub(at));
+    // Bounded by the order's duration, since the time of day may jump.
     now - Duration::from_millis(age).min(order.duration)
 }
--- a/crates/hollyhook_gateway/src/gateway/live_settings.rs
+++ b/crates/hollyhook_gateway/src/gateway/live_settings.rs
@@ -3,15 +3,17 @@
 use hollyhook_core::{StopPlan, TimePoint};
 use hollyhook_settings::{GatewayBounds, GatewaySettings};
 
-/// The settings that may change while the process runs, and the stop that follows from them.
+/// The settings that may change while the process runs, and when its graceful shutdown began.
 #[derive(Debug)]
 pub(super) struct LiveSettings {
     pub(super) bounds: GatewayBounds,
     pub(super) store: SocketAddr,
+    /// When the graceful shutdown began; `None` if it has not.
     pub(super) stop_began_at: Option<TimePoint>,
 }
 
 impl LiveSettings {
+    /// The plan of a graceful shutdown within the grace period of the settings.
     pub(super) fn stop_plan(&self) -> StopPlan {
         StopPlan::new(self.bounds.grace)
     }
--- a/crates/hollyhook_gateway/src/gateway/mod.rs
+++ b/crates/hollyhook_gateway/src/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! The parts of a gateway, put together, and its start and stop.
+//! The state that the parts of a gateway share, and the start and graceful shutdown of the process.
 
 mod endpoint_directory;
 mod gateway_context;
--- a/crates/hollyhook_gateway/src/gateway/quarantine_tracker.rs
+++ b/crates/hollyhook_gateway/src/gateway/quarantine_tracker.rs
@@ -11,14 +11,14 @@
 use super::unix_time::unix_millis;
 use crate::sync::lock;
 
-/// The requests that end the endpoints which run them, and what the platform's store holds of these.
+/// The requests that crash the endpoints which run them, from the crashes that this host saw and those in the store.
 #[derive(Debug)]
 pub(crate) struct QuarantineTracker {
     board: Arc<MetricBoard>,
     ledger: Mutex<CrashLedger>,
-    /// What is entries at endpoints' entries, by entry.
+    /// The crash records in the store, by the endpoint entry that holds them.
     entries: Mutex<BTreeMap<Name, CrashRecords>>,
-    /// Whether the records are being written to the store.
+    /// Whether a task of this host writes the crash records to the store.
     is_writing: AtomicBool,
 }
 
@@ -26,11 +26,11 @@
     /// The name that the service is registered under.
     pub(crate) const NAME: &'static str = "quarantine";
 
-    /// An empty board, of services that are registered.
+    /// A tracker without crash records.
     ///
     /// # Errors
     ///
-    /// `Internal` if one of them is not registered.
+    /// `Internal` if a service that the tracker uses is not registered.
     pub(crate) fn new(registry: &ServiceRegistry) -> Result<Self> {
         Ok(Self {
             board: registry.find(MetricBoard::NAME)?,
@@ -40,7 +40,9 @@
         })
     }
 
-    /// For how much longer a request is refused, if it is; the digest is asked for only if any request is suspected.
+    /// How long a refused request should wait before it is tried again; `None` if the request is not refused.
+    ///
+    /// The digest is computed only if there are crash records or unanswered requests.
     pub(crate) fn refusal(&self, digest: impl FnOnce() -> RequestDigest) -> Option<Duration> {
         let ledger = lock(&self.ledger);
         if ledger.is_empty() {
@@ -49,24 +51,24 @@
         ledger.refusal(unix_millis(), &digest())
     }
 
-    /// Whether an endpoint ended under a request since it last did no harm.
+    /// Whether an endpoint crashed while running a request since one last ran it without crashing.
     pub(crate) fn is_suspected(&self, digest: impl FnOnce() -> RequestDigest) -> bool {
         let ledger = lock(&self.ledger);
         !ledger.is_empty() && ledger.is_suspected(&digest())
     }
 
-    /// Notes that an endpoint ended under a request.
+    /// Records that an endpoint crashed while running a request.
     pub(crate) fn record_crash(&self, digest: RequestDigest, endpoint: &str) {
         let change = lock(&self.ledger).record_crash(unix_millis(), digest, Name::from(endpoint));
         self.log(&change);
     }
 
-    /// Notes that an endpoint left a request without an answer, and may have ended.
+    /// Records that an endpoint left a request without an answer, and may have crashed.
     pub(crate) fn record_unanswered(&self, digest: RequestDigest, endpoint: &str) {
         lock(&self.ledger).record_unanswered(unix_millis(), digest, Name::from(endpoint));
     }
 
-    /// Notes that endpoints are gone without having said that they leave.
+    /// Counts unanswered requests as crashes, for endpoints that are gone without having announced that they leave.
     pub(crate) fn confirm_crashes(&self, endpoints: &[EndpointId]) {
         let mut ledger = lock(&self.ledger);
         if ledger.is_empty() {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Notes that a request is no longer tried here.
+    /// Records that this host no longer retries a request.
     pub(crate) fn record_given_up(&self, digest: impl FnOnce() -> RequestDigest) {
         let mut ledger = lock(&self.ledger);
         if !ledger.is_empty() {
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Notes that an endpoint ran a request and did not end.
+    /// Records that an endpoint ran a request without crashing.
     pub(crate) fn record_survival(&self, digest: impl FnOnce() -> RequestDigest) {
         let mut ledger = lock(&self.ledger);
         if ledger.is_empty() {
@@ -100,7 +102,7 @@
         self.log(&change);
     }
 
-    /// Takes in what hosts entries at an endpoint's entry.
+    /// Reads the crash records that hosts stored at an endpoint's entry.
     pub(crate) fn load_entry(&self, object: &StoreObject) {
         match hollyhook_platform::decode_crashes(object) {
             Ok(records) => self.set_entry(&object.name, records),
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Takes in that these records stand at an endpoint's entry now.
+    /// Replaces the known crash records of an endpoint's entry.
     pub(crate) fn set_entry(&self, entry: &Name, records: CrashRecords) {
         self.change_entries(|entries| {
             if records.is_empty() {
@@ -120,12 +122,12 @@
         });
     }
 
-    /// Notes that an endpoint's entry is gone, and what stood there with it.
+    /// Removes the crash records of an endpoint's entry that was removed from the store.
     pub(crate) fn remove_entry(&self, entry: &Name) {
         self.change_entries(|entries| entries.remove(entry).is_some());
     }
 
-    /// Notes that all other entries are gone.
+    /// Removes the crash records of all entries for which `is_present` returns false.
     pub(crate) fn retain_entries(&self, is_present: impl Fn(&Name) -> bool) {
         self.change_entries(|entries| {
             let before = entries.len();
@@ -134,7 +136,7 @@
         });
     }
 
-    /// Changes what is entries at entries, and lets the ledger know if that made a difference.
+    /// Changes the stored records, and merges them into the ledger if `change` returns true.
     fn change_entries(&self, change: impl FnOnce(&mut BTreeMap<Name, CrashRecords>) -> bool) {
         let mut entries = lock(&self.entries);
         if !change(&mut entries) {
@@ -144,26 +146,30 @@
         for (digest, record) in entries.values().flatten() {
             merged.entry(*digest).or_default().merge(record);
         }
-        // Still with the lock on what is entries: what was read later must not be learnt first.
+        // The lock on the entries is still held, so that records that are read later are merged later as well.
         let change = lock(&self.ledger).merge_stored(unix_millis(), merged);
         drop(entries);
         self.log(&change);
     }
 
-    /// The records that the store should hold, if this host is to write them.
+    /// The crash records that this host has to write to the store; `None` if it has none to write.
+    ///
+    /// `is_reader` tells whether this host reads the store on behalf of others.
     pub(crate) fn records_to_write(&self, is_reader: bool) -> Option<CrashRecords> {
         lock(&self.ledger).records_to_write(is_reader)
     }
 
-    /// Whether the records have to be written and nobody does so yet; if so, the caller does from now on.
+    /// Whether this host has to write crash records and no task does so; if so, the caller has to from now on.
     ///
-    /// Whether this host reads the store for others takes a while to say, and is asked only if anything is missing there.
+    /// `is_reader` tells whether this host reads the store on behalf of others. It takes a while to find out, and is
+    /// called only if a record is missing in the store.
     pub(crate) fn begin_writing(&self, is_reader: impl FnOnce() -> bool) -> bool {
         let is_missing = lock(&self.ledger).has_records_to_write(true);
         let is_own = || lock(&self.ledger).has_records_to_write(is_reader());
         is_missing && is_own() && !self.is_writing.swap(true, Ordering::AcqRel)
     }
 
+    /// Records that the task that began the writing has ended.
     pub(crate) fn end_writing(&self) {
         self.is_writing.store(false, Ordering::Release);
     }
--- a/crates/hollyhook_gateway/src/gateway/request_load.rs
+++ b/crates/hollyhook_gateway/src/gateway/request_load.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The requests that a host carries and the memory that their bodies take.
+/// The number of requests that a host is processing, and the memory reserved for their bodies.
 #[derive(Debug)]
 pub(crate) struct RequestLoad {
     requests: AtomicUsize,
@@ -13,30 +13,30 @@
     /// The name that the service is registered under.
     pub(crate) const NAME: &'static str = "requests";
 
-    /// No load yet, for a process that may take `memory_bytes` in all.
+    /// An empty load, for a process that may use `memory_bytes` of memory in total.
     pub(crate) fn new(memory_bytes: usize) -> Self {
-        // Bodies may take a quarter of the memory; the rest is for connections and what is being sent.
+        // Bodies may use a quarter of the memory; the rest is for connections and data that is being sent.
         Self { requests: AtomicUsize::new(0), body_bytes: AtomicUsize::new(0), body_limit: memory_bytes / 4 }
     }
 
-    /// Requests under way.
+    /// The number of requests that are being processed.
     pub(crate) fn requests(&self) -> usize {
         self.requests.load(Ordering::Relaxed)
     }
 
-    /// Counts a request as under way until the guard goes.
+    /// Counts a request as being processed until the guard is dropped.
     pub(crate) fn begin(self: &Arc<Self>) -> RequestGuard {
         self.requests.fetch_add(1, Ordering::Relaxed);
         RequestGuard { load: Arc::clone(self) }
     }
 
-    /// A claim on memory for a body that is about to be read.
+    /// An empty reservation of memory, for a body that is about to be read.
     pub(crate) fn reserve_body(self: &Arc<Self>) -> BodyReservation {
         BodyReservation { load: Arc::clone(self), bytes: 0 }
     }
 }
 
-/// A request under way.
+/// Counts a request as being processed while it exists.
 #[derive(Debug)]
 pub(crate) struct RequestGuard {
     load: Arc<RequestLoad>,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Memory that a body takes.
+/// Memory that is reserved for a request body until it is dropped.
 #[derive(Debug)]
 pub(crate) struct BodyReservation {
     load: Arc<RequestLoad>,
@@ -56,11 +56,11 @@
 }
 
 impl BodyReservation {
-    /// Claims more; false if bodies take too much already.
+    /// Reserves more memory, and returns whether all bodies together are still within their limit.
     pub(crate) fn grow(&mut self, bytes: usize) -> bool {
-        let taken = self.load.body_bytes.fetch_add(bytes, Ordering::Relaxed);
+        let reserved = self.load.body_bytes.fetch_add(bytes, Ordering::Relaxed);
         self.bytes += bytes;
-        taken + bytes <= self.load.body_limit
+        reserved + bytes <= self.load.body_limit
     }
 }
 
--- a/crates/hollyhook_gateway/src/gateway/retry_budgets.rs
+++ b/crates/hollyhook_gateway/src/gateway/retry_budgets.rs
@@ -6,14 +6,14 @@
 
 use crate::sync::lock;
 
-/// The part of the allowed retries that this host spends, so that clocks and windows that differ do not add up to
-/// more than is allowed.
+/// The fraction of its retry allowance that each host spends. The rest is a margin for clocks and windows that differ
+/// between hosts, so that the hosts together stay within the allowance.
 const RETRY_SHARE: f64 = 0.75;
-/// Hosts among which the fixed part of the retry allowance is divided; docs/CAPACITY.md says what this becomes at a
-/// thousand.
+/// Hosts among which the fixed part of the retry allowance is divided, however many there are; docs/CAPACITY.md states
+/// the result with a thousand hosts.
 const RETRY_HOSTS: u64 = 16;
 
-/// The retry budget of each service, as far as this host may spend it.
+/// This host's retry budget for each service.
 #[derive(Debug)]
 pub(crate) struct RetryBudgets {
     inner: Mutex<BudgetState>,
@@ -33,7 +33,7 @@
         Self { inner: Mutex::new(BudgetState { bounds, windows: HashMap::new() }) }
     }
 
-    /// Takes other bounds; what was counted under the old ones is forgotten.
+    /// Changes the bounds. If they differ, all windows are discarded with what they counted.
     pub(crate) fn set_bounds(&self, bounds: RetryBounds) {
         let mut state = lock(&self.inner);
         if state.bounds != bounds {
@@ -41,12 +41,12 @@
         }
     }
 
-    /// Counts a request's first send.
+    /// Counts the first send of a request, which adds to the budget.
     pub(crate) fn earn(&self, service: &Name, now: TimePoint) {
         self.act(service, |window| window.earn(now));
     }
 
-    /// Whether one more send may be made; if so, it is counted.
+    /// Whether the budget allows one more retry; if so, the retry is counted.
     pub(crate) fn try_spend(&self, service: &Name, now: TimePoint) -> bool {
         self.act(service, |window| window.try_spend(now))
     }
--- a/crates/hollyhook_gateway/src/gateway/rollout_tracker.rs
+++ b/crates/hollyhook_gateway/src/gateway/rollout_tracker.rs
@@ -17,14 +17,15 @@
 use super::known_rollout::{KnownRollout, first_seen_at};
 use crate::sync::{WakeList, lock};
 
-/// The part of the requests that a version on trial may get which it does get; the rest is for chance, and for what is moved
-/// to it shortly before the deadline.
-const TRIAL_SHARE: f64 = 0.8;
-/// How long after this host last heard of the store it still sends requests to a version on trial: what others see of it can't
-/// be heard of.
-const CONFIRMATION_AGE: Duration = Duration::from_millis(2_500);
-
-/// The roll-outs that this host knows of, which versions its requests may go to, and what it saw of those on trial.
+/// The fraction of the permitted exposure that a version on trial gets. The rest leaves room for random variation, and
+/// for the requests that are moved to the version shortly before the deadline.
+const EXPOSURE_FRACTION: f64 = 0.8;
+/// How long after its last successful read of the store this host still sends requests to a version on trial. Without
+/// the store, it can't learn that the version failed at other hosts.
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(2_500);
+
+/// The roll-outs that this host knows, the versions that its requests may be routed to, and its evidence about the
+/// versions on trial.
 #[derive(Debug)]
 pub(crate) struct RolloutTracker {
     timer: Arc<TimerService>,
@@ -32,22 +33,22 @@
     endpoints: Arc<EndpointDirectory>,
     state: Mutex<TrackerState>,
     waiters: WakeList,
-    /// Whether reports and decisions are being made.
+    /// Whether a task of this host reports evidence and decides about roll-outs.
     is_working: AtomicBool,
 }
 
 #[derive(Debug, Default)]
 struct TrackerState {
-    /// The share of a service's requests that a version may get before it is judged; none where no roll-outs are ordered.
+    /// The share of a service's requests that a version may get before the verdict on it; `None` disables roll-outs.
     exposure: Option<f64>,
     rollouts: BTreeMap<Name, KnownRollout>,
-    /// Services whose order can't be read; nothing of theirs is moved.
+    /// Services whose roll-out order can't be decoded; their unchecked versions get no requests.
     blocked: BTreeSet<Name>,
-    /// Versions by service of which it is known whether they are on order.
+    /// Services and versions that have been looked up among the roll-out orders.
     checked_versions: BTreeSet<(Name, Name)>,
-    /// Versions by service of which it isn't yet.
+    /// Versions by service that have not been looked up yet; they get no requests.
     unchecked_versions: BTreeMap<Name, BTreeSet<Name>>,
-    /// When this host last heard of the store.
+    /// When this host last read the orders from the store.
     confirmed: Option<TimePoint>,
 }
 
@@ -59,9 +60,9 @@
     pub(crate) endpoint: &'a EndpointId,
     pub(crate) version: &'a Name,
     pub(crate) is_failure: bool,
-    /// From the send to the answer, or to the first event of a stream.
+    /// Time from the send to the answer, or to the first event of a stream.
     pub(crate) first: Option<Duration>,
-    /// Between two events of a stream, in the mean.
+    /// Mean time between two events of a stream.
     pub(crate) gap: Option<Duration>,
 }
 
@@ -69,12 +70,14 @@
     /// The name that the service is registered under.
     pub(crate) const NAME: &'static str = "rollouts";
 
-    /// An empty board, of services that are registered; `exposure` is the share of a service's requests that a version
-    /// may get before it is judged, none where no roll-outs are ordered.
+    /// A tracker without roll-outs.
+    ///
+    /// `exposure` is the share of a service's requests that a version may get before the verdict on it; `None` disables
+    /// roll-outs.
     ///
     /// # Errors
     ///
-    /// `Internal` if one of them is not registered.
+    /// `Internal` if a service that the tracker uses is not registered.
     pub(crate) fn new(registry: &ServiceRegistry, exposure: Option<f64>) -> Result<Self> {
         Ok(Self {
             timer: registry.find(TimerService::NAME)?,
@@ -86,49 +89,50 @@
         })
     }
 
-    /// Takes in another share.
+    /// Changes the share of a service's requests that a version may get before the verdict on it.
     pub(crate) fn set_exposure(&self, exposure: Option<f64>) {
         lock(&self.state).exposure = exposure;
     }
 
-    /// Whether roll-outs may be ordered here.
+    /// Whether roll-outs are enabled.
     pub(crate) fn is_enabled(&self) -> bool {
         lock(&self.state).exposure.is_some()
     }
 
-    /// Whether any roll-out is being decided, or a decision is missing in the store.
+    /// Whether any roll-out is undecided, or its state is missing in the store.
     pub(crate) fn is_active(&self) -> bool {
         lock(&self.state).rollouts.values().any(|rollout| rollout.is_active() || rollout.is_unwritten())
     }
 
-    /// Whether there are versions of which a list of the orders would tell whether they are on order. Where an order can't be
-    /// read it would not.
+    /// Whether there are unchecked versions that a list of the orders would settle.
+    ///
+    /// Versions of a service whose order can't be decoded don't count.
     pub(crate) fn has_unchecked_versions(&self) -> bool {
         let state = lock(&self.state);
         state.unchecked_versions.keys().any(|service| !state.blocked.contains(service))
     }
 
-    /// Whether a change of an order would matter to this host now.
+    /// Whether this host has to learn of changes to the orders without delay.
     pub(crate) fn is_watch_needed(&self) -> bool {
         !lock(&self.state).blocked.is_empty() || self.is_active()
     }
 
-    /// Completes when there is a version to be checked_versions.
+    /// A receiver that completes when a version has to be looked up among the orders.
     pub(crate) fn unchecked_signal(&self) -> oneshot::Receiver<()> {
         self.waiters.wait()
     }
 
-    /// Which versions a request may go to; none if any.
+    /// Which versions a request may be routed to; `None` allows all versions.
     ///
-    /// A version on trial is trial for a small share of the requests, and only for their first attempt (`is_first`): what
-    /// is sent again has been held up enough.
+    /// A small share of the requests is drawn at random for a version on trial, on their first attempt only
+    /// (`is_first`): a request that is retried has already been delayed.
     pub(crate) fn version_filter(&self, service: &Name, is_first: bool) -> Option<VersionFilter> {
         let state = lock(&self.state);
         let exposure = state.exposure?;
         let unchecked_versions = state.unchecked_versions.get(service).cloned();
         let now = self.timer.now();
         let rollout = state.rollouts.get(service);
-        let is_confirmed = state.confirmed.is_some_and(|at| now.since(at) <= CONFIRMATION_AGE);
+        let is_confirmed = state.confirmed.is_some_and(|at| now.since(at) <= MAX_CONFIRMATION_AGE);
         let target = rollout.map(|rollout| (Name::clone(&rollout.order.target), rollout.plan().share(now)));
         drop(state);
         let others = |version: Option<Name>| {
@@ -144,7 +148,7 @@
             }
             Some((version, TargetShare::Trial)) => {
                 let trial = if is_first && is_confirmed {
-                    self.draw_trial(service, &version, exposure * TRIAL_SHARE)
+                    self.draw_trial(service, &version, exposure * EXPOSURE_FRACTION)
                 } else {
                     None
                 };
@@ -153,7 +157,7 @@
         }
     }
 
-    /// The rule for a request that is trial for the version on trial, if it is.
+    /// Draws a request for the version on trial; `None` if it is not drawn, or the version has no live endpoint.
     fn draw_trial(&self, service: &Name, version: &Name, share: f64) -> Option<VersionFilter> {
         if !rand::rng().random_bool(share.clamp(0.0, 1.0)) {
             return None;
@@ -166,7 +170,7 @@
         Some(VersionFilter::only(version).endpoints(chosen))
     }
 
-    /// Whether an endpoint may be sent what another one has begun.
+    /// Whether a generation that began at another endpoint may be resumed at an endpoint of this version.
     pub(crate) fn may_continue_at(&self, service: &Name, version: &Name) -> bool {
         let state = lock(&self.state);
         let Some(rollout) = state.rollouts.get(service).filter(|_| state.exposure.is_some()) else {
@@ -175,7 +179,7 @@
         let is_target = rollout.order.target == *version;
         match rollout.plan().share(self.timer.now()) {
             TargetShare::None => !is_target,
-            // While it is moved to, what runs elsewhere may still end there.
+            // While requests move to the target, generations at other versions may still end there.
             TargetShare::All => is_target || rollout.state == Some(RolloutState::Moving),
             TargetShare::Trial | TargetShare::Unrestricted => true,
         }
@@ -188,7 +192,7 @@
         matching.map(|record| EndpointId::clone(&record.id)).collect()
     }
 
-    /// Takes in what an endpoint answered.
+    /// Records an answer as evidence, if a roll-out of its service is undecided.
     pub(crate) fn record_answer(&self, answer: &VersionAnswer<'_>) {
         let mut state = lock(&self.state);
         let Some(rollout) = state.rollouts.get_mut(answer.service).filter(|rollout| rollout.is_active()) else {
@@ -207,9 +211,10 @@
         }
     }
 
-    /// Looks for versions of which it is not known whether they are on order.
+    /// Updates the unchecked versions from the known endpoints, and wakes the waiting task if there are any.
     ///
-    /// Where all endpoints of a service are of one version, an order would have nothing to move to.
+    /// If no version of a service has been checked, the version of most endpoints counts as checked. A service whose
+    /// endpoints all run one version therefore has no unchecked version: there is no other version to move requests to.
     pub(crate) fn check_versions(&self) {
         let mut state = lock(&self.state);
         if state.exposure.is_none() {
@@ -230,13 +235,13 @@
         }
     }
 
-    /// Notes that the store was heard of at a time.
+    /// Records that the orders were read from the store at `at`.
     pub(crate) fn confirm(&self, at: TimePoint) {
         let mut state = lock(&self.state);
         state.confirmed = state.confirmed.max(Some(at));
     }
 
-    /// Takes in all orders that there are, of when nothing was known of the versions that were looked for then.
+    /// Applies the list of all orders; `looked_up` holds the versions that were unchecked when the list was requested.
     pub(crate) fn apply_list(&self, objects: &[StoreObject], looked_up: &BTreeMap<Name, BTreeSet<Name>>) {
         let missing: Vec<Name> = {
             let state = lock(&self.state);
@@ -253,12 +258,12 @@
         self.check_versions();
     }
 
-    /// The versions that are to be checked_versions.
+    /// The versions by service that have to be looked up among the orders.
     pub(crate) fn unchecked_versions(&self) -> BTreeMap<Name, BTreeSet<Name>> {
         lock(&self.state).unchecked_versions.clone()
     }
 
-    /// Takes in an order and what was written of it.
+    /// Applies an order and its status from the store.
     pub(crate) fn apply(&self, object: &StoreObject) {
         match hollyhook_platform::decode_order(object) {
             Ok(order) => self.apply_order(object, order),
@@ -307,7 +312,9 @@
         state.rollouts.insert(service, rollout);
     }
 
-    /// Takes in that an order is gone. What was rolled back stays so until there is another order.
+    /// Withdraws the roll-out of a service whose order was removed.
+    ///
+    /// A version that was rolled back gets no requests until there is another order for the service.
     pub(crate) fn withdraw(&self, service: &Name) {
         let mut state = lock(&self.state);
         state.blocked.remove(service);
@@ -321,14 +328,14 @@
         }
     }
 
-    /// The roll-outs that are being decided, or whose decision is missing in the store.
+    /// The roll-outs that are undecided, or whose state is missing in the store.
     pub(crate) fn active(&self) -> Vec<KnownRollout> {
         let state = lock(&self.state);
         let active = state.rollouts.values().filter(|rollout| rollout.is_active() || rollout.is_unwritten());
         active.cloned().collect()
     }
 
-    /// What this host saw of the versions on trial, where it saw any answer of them.
+    /// This host's evidence on each roll-out whose target has answered a request here.
     pub(crate) fn reports(&self) -> Vec<TrialReport> {
         let state = lock(&self.state);
         let seen = state.rollouts.values().filter(|rollout| rollout.evidence.target_answers() > 0);
@@ -340,30 +347,31 @@
         reports.collect()
     }
 
-    /// What this host saw of one roll-out.
+    /// This host's evidence on the roll-out of a service; empty if there is none.
     pub(crate) fn evidence(&self, service: &Name) -> TrialEvidence {
         lock(&self.state).rollouts.get(service).map(|rollout| rollout.evidence.clone()).unwrap_or_default()
     }
 
-    /// Whether nobody here reports and decides yet; if so, the caller does from now on.
+    /// Whether a roll-out is active and no task works on the roll-outs; if so, the caller has to do so from now on.
     pub(crate) fn begin_work(&self) -> bool {
         self.is_active() && !self.is_working.swap(true, Ordering::AcqRel)
     }
 
+    /// Records that the task that began the work has ended.
     pub(crate) fn end_work(&self) {
         self.is_working.store(false, Ordering::Release);
     }
 }
 
 impl TrackerState {
-    /// Looks at the versions of a service, and how many endpoints have each.
+    /// Finds the unchecked versions of a service, given the number of endpoints of each version.
     fn check_service(&mut self, service: Name, versions: &BTreeMap<Name, usize>) {
         let is_checked =
             |version: &Name| self.checked_versions.contains(&(Name::clone(&service), Name::clone(version)));
         if !versions.keys().any(is_checked)
             && let Some((usual, _)) = versions.iter().max_by_key(|(_, count)| **count)
         {
-            // Nothing is known of any: most run what was there before.
+            // No version has been checked: most endpoints run the version that was there before any order.
             self.checked_versions.insert((Name::clone(&service), Name::clone(usual)));
         }
         let is_checked =
@@ -375,7 +383,7 @@
         }
     }
 
-    /// Takes in that no order beside those that are known names these versions.
+    /// Marks versions as checked after a list of the orders, except those of services whose order can't be decoded.
     fn mark_checked(&mut self, looked_up: &BTreeMap<Name, BTreeSet<Name>>) {
         for (service, versions) in looked_up {
             if self.blocked.contains(service) {
--- a/crates/hollyhook_gateway/src/lib.rs
+++ b/crates/hollyhook_gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! The gateway: an entry host's daemon whose configuration and endpoints lie in the platform's store.
+//! The gateway: the daemon of a host whose configuration and endpoints are in the platform's store.
 //!
-//! It routes opaque requests by host and path to services, carries event streams over the loss of an engine, and
-//! keeps nothing. [`Gateway::start`] runs one; the decisions are those of `hollyhook_core`, and what the platform calls
-//! things stands in `hollyhook_platform`.
+//! The gateway routes opaque requests by host and path to services, and resumes event streams after the loss of an
+//! engine. It stores nothing locally. [`Gateway::start`] runs a gateway; its decisions are made by `hollyhook_core`,
+//! and the platform's names and formats are defined in `hollyhook_platform`.
 
 mod forward;
 mod front;
--- a/crates/hollyhook_gateway/src/peer/feed_message.rs
+++ b/crates/hollyhook_gateway/src/peer/feed_message.rs
@@ -7,24 +7,25 @@
 const CONFIGURATION_PATH: &str = "/feed/configuration";
 const ENDPOINT_PATH: &str = "/feed/endpoints";
 
-/// What a follower asks of a leader: changes after a revision, waiting for some if there are none.
+/// A request to another host for the changes after a revision, which waits for changes if there are none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct FeedQuery {
     pub(super) kind: ObjectKind,
-    /// None asks for everything.
+    /// The revision of the last update; `None` requests a snapshot.
     pub(super) after: Option<StoreRevision>,
+    /// How long the request may wait for changes.
     pub(super) wait: Duration,
 }
 
 impl FeedQuery {
-    /// The path and query by which it is asked.
+    /// The path and query string of the request.
     pub(super) fn to_path(self) -> String {
         let path = if self.kind == ObjectKind::Endpoint { ENDPOINT_PATH } else { CONFIGURATION_PATH };
         let after = self.after.map(|after| format!("&era={}&after={}", after.era, after.number)).unwrap_or_default();
         format!("{path}?wait_ms={}{after}", self.wait.as_millis())
     }
 
-    /// Reads it; none if nothing is told under that path.
+    /// Parses a path and query string; `None` if the path serves no kind of object.
     pub(super) fn from_path(path: &str, query: Option<&str>) -> Option<Self> {
         let kind = match path {
             CONFIGURATION_PATH => ObjectKind::Configuration,
@@ -39,22 +40,24 @@
     }
 }
 
-/// What a leader answers. Clocks of hosts differ, so times are told as ages.
+/// The answer to a [`FeedQuery`]. Times are sent as ages, because the clocks of hosts differ.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct FeedMessage {
+    /// Whether `changes` lists all objects that exist, rather than what changed.
     is_whole: bool,
-    /// The era of the store.
+    /// The era of the store in which the update was read.
     #[serde(default)]
     era: u64,
+    /// The store's revision up to which the update is complete.
     revision: u64,
-    /// How long ago the store confirmed it, in milliseconds.
+    /// How long ago the update was last known to be complete, in milliseconds.
     pub(super) age_ms: u64,
-    /// How long ago the store came back after it was away, in milliseconds.
+    /// How long ago the store answered again after an outage, in milliseconds.
     back_ms_ago: Option<u64>,
-    /// Hosts that told it to the one that answers.
+    /// Number of hosts that passed the update on before it reached the answering host.
     #[serde(default)]
     pub(super) hops: u32,
-    /// How long the question was held before this was said, in milliseconds.
+    /// How long the request was held before this answer, in milliseconds.
     #[serde(default)]
     held_ms: u64,
     changes: Vec<MessageChange>,
@@ -77,8 +80,8 @@
 }
 
 impl FeedMessage {
-    /// The message for news, told at `now` in answer to a question that came at `sent_at`.
-    pub(super) fn new(update: FeedUpdate<StoreObject>, sent_at: TimePoint, now: TimePoint) -> Self {
+    /// The answer with an update, at `now`, to a request that was received at `received_at`.
+    pub(super) fn new(update: FeedUpdate<StoreObject>, received_at: TimePoint, now: TimePoint) -> Self {
         Self {
             is_whole: update.is_snapshot,
             era: update.revision.era,
@@ -86,17 +89,17 @@
             age_ms: now.since(update.confirmed_until).as_millis() as u64,
             back_ms_ago: update.grace_start.map(|at| now.since(at).as_millis() as u64),
             hops: update.hops,
-            held_ms: now.since(sent_at).as_millis() as u64,
+            held_ms: now.since(received_at).as_millis() as u64,
             changes: update.changes.into_iter().map(MessageChange::from).collect(),
         }
     }
 
-    /// The news, for a question asked at `sent_at` that was to be held for up to `wait`.
+    /// The update in the answer to a request that was sent at `sent_at` and allowed a wait of up to `wait`.
     ///
-    /// When the answer was given is not known here, only that it was no sooner than the question and the time for which it
-    /// was held. The ages count from then, so that a delayed answer never makes anything look newer than it is.
-    /// Counted from the question alone, what passed through two hosts would look older than it is, and in an outage of the store
-    /// keys would be refused that much sooner.
+    /// The time of the answer is not known here, only that it is no earlier than `sent_at` plus the time for which the
+    /// request was held. The ages count from that earliest time, so that a delayed answer never makes an update look
+    /// newer than it is. If they counted from `sent_at`, an update that passed through two hosts would look older than
+    /// it is, and API keys would be refused that much sooner in an outage of the store.
     pub(super) fn into_update(self, sent_at: TimePoint, wait: Duration) -> FeedUpdate<StoreObject> {
         let answered_at = sent_at + Duration::from_millis(self.held_ms).min(wait);
         FeedUpdate {
--- a/crates/hollyhook_gateway/src/peer/feed_server.rs
+++ b/crates/hollyhook_gateway/src/peer/feed_server.rs
@@ -18,17 +18,17 @@
 use crate::gateway::GatewayContext;
 use crate::net::wire_stream;
 
-/// The longest that a follower may wait for news.
+/// Longest time for which a request of another host waits for an update.
 const MAX_WAIT: Duration = Duration::from_secs(5);
 
-/// Tells other hosts what this one reads of the store, until the process ends.
+/// Serves this host's copy of the store's contents to other hosts, until the process ends.
 pub(crate) async fn serve_peers(listener: TcpListener, context: Arc<GatewayContext>) {
     loop {
         let Ok((stream, _peer)) = listener.accept().await else {
             context.timer.wait(ACCEPT_PAUSE).await;
             continue;
         };
-        // News are small writes that followers wait for.
+        // Updates are small writes that other hosts wait for.
         let _slower = stream.set_nodelay(true);
         let context = Arc::clone(&context);
         task::spawn(async move {
@@ -36,7 +36,7 @@
                 let context = Arc::clone(&context);
                 async move { Ok::<_, Infallible>(answer(&context, &request).await) }
             });
-            // A follower asks again on a new connection.
+            // After an error, the other host sends its request again on a new connection.
             let _outcome = http1::Builder::new().serve_connection(wire_stream(stream), service).await;
         });
     }
@@ -46,11 +46,11 @@
     let Some(query) = FeedQuery::from_path(request.uri().path(), request.uri().query()) else {
         return empty(StatusCode::NOT_FOUND);
     };
-    let sent_at = context.timer.now();
+    let received_at = context.timer.now();
     let Some(update) = wait_for_update(context, &query).await else {
         return empty(StatusCode::SERVICE_UNAVAILABLE);
     };
-    let message = FeedMessage::new(update, sent_at, context.timer.now());
+    let message = FeedMessage::new(update, received_at, context.timer.now());
     match serde_json::to_vec(&message) {
         Ok(body) => Response::new(Full::from(body)),
         Err(error) => {
@@ -60,17 +60,19 @@
     }
 }
 
-/// The news after the follower's revision; none if this host may not tell, or has heard nothing itself within the wait.
+/// Waits for an update after the revision of the query; `None` if this host must not pass its copy on, or has received
+/// no update itself within the wait.
 async fn wait_for_update(context: &GatewayContext, query: &FeedQuery) -> Option<FeedUpdate<StoreObject>> {
-    let until = context.timer.now() + query.wait.min(MAX_WAIT);
+    let deadline = context.timer.now() + query.wait.min(MAX_WAIT);
     loop {
-        // Waited for before looking, so that what comes in between is not missed.
+        // Created before the look-up, so that an update that is applied in between is not missed.
         let signal = context.feed.update_signal();
         let update = context.feed.update_after(query.kind, query.after);
-        let time_left = until.since(context.timer.now());
-        // After a loss of all hosts those that are asked start at the same moment as those that ask.
-        let is_awaited = update.as_ref().map_or(!context.feed.has_updates(query.kind), FeedUpdate::is_empty);
-        if !is_awaited || time_left.is_zero() {
+        let time_left = deadline.since(context.timer.now());
+        // After a loss of all hosts, a host that is asked starts at the same moment as the host that asks, and may not have
+        // received an update yet.
+        let is_pending = update.as_ref().map_or(!context.feed.has_updates(query.kind), FeedUpdate::is_empty);
+        if !is_pending || time_left.is_zero() {
             return update;
         }
         let _signal = context.timer.within(time_left, signal).await;
--- a/crates/hollyhook_gateway/src/peer/feed_state.rs
+++ b/crates/hollyhook_gateway/src/peer/feed_state.rs
@@ -11,17 +11,17 @@
 
 use crate::sync::{WakeList, lock};
 
-/// What this host knows of the store and tells others, and who they are.
+/// This host's copy of the store's contents, from which it updates other hosts, and the topology of these hosts.
 #[derive(Debug)]
 pub(crate) struct FeedState {
     topology: Mutex<FeedTopology>,
     logs: Mutex<HashMap<ObjectKind, FeedLog<StoreObject>>>,
-    /// Those who wait for news of any kind.
+    /// Requests of other hosts that wait for an update of any kind.
     waiters: WakeList,
     /// Whether the other hosts are being listed for the first time.
     is_listing: AtomicBool,
     eras: Mutex<EraTracker>,
-    /// Objects up to which all of a kind are told at once.
+    /// Most objects that are sent in one snapshot.
     snapshot_limit: usize,
 }
 
@@ -29,7 +29,7 @@
     /// The name that the service is registered under.
     pub(crate) const NAME: &'static str = "feed";
 
-    /// The board of a host whose link carries `link_mbps` Mbit/s.
+    /// The state of a host with a link of `link_mbps` Mbit/s that has read nothing yet.
     pub(crate) fn new(host: Name, zone: ZoneName, link_mbps: u32) -> Self {
         Self {
             topology: Mutex::new(FeedTopology::new(host, zone)),
@@ -41,22 +41,22 @@
         }
     }
 
-    /// The newest era of the store that this host has heard of.
+    /// The newest era of the store that this host has seen in any answer.
     pub(crate) fn era(&self) -> u64 {
         lock(&self.eras).era()
     }
 
-    /// Judges an answer by the era of the store that it tells.
+    /// Compares the era that an answer states with the newest one, and records a newer one.
     pub(crate) fn observe_era(&self, era: Option<u64>) -> EraVerdict {
         lock(&self.eras).observe(era)
     }
 
-    /// Notes that the other hosts will be listed soon.
+    /// Records that the other hosts will be listed soon.
     pub(crate) fn begin_listing(&self) {
         self.is_listing.store(true, Ordering::Relaxed);
     }
 
-    /// Notes that from whom this host learns will not change soon.
+    /// Records that the other hosts were listed, so that this host's sources will not change soon.
     pub(crate) fn end_listing(&self) {
         self.is_listing.store(false, Ordering::Relaxed);
     }
@@ -66,47 +66,47 @@
         self.is_listing.load(Ordering::Relaxed)
     }
 
-    /// The hosts that are registered; none before they are listed.
+    /// The number of registered hosts; `None` before they have been listed.
     pub(crate) fn host_count(&self) -> Option<usize> {
         Some(lock(&self.topology).host_count()).filter(|count| *count > 0)
     }
 
-    /// From whom this host learns now.
+    /// Where this host gets the contents of the store now.
     pub(crate) fn plan(&self, now: TimePoint) -> FeedPlan {
         lock(&self.topology).plan(now)
     }
 
-    /// Whether the hosts of the zone are so many that some tell on what one reads.
+    /// Whether the zone is so large that the leaders update relays, and these the other hosts.
     pub(crate) fn has_relays(&self) -> bool {
         lock(&self.topology).has_relays()
     }
 
-    /// Whom to ask when the store gives no answer.
+    /// The hosts to ask when the store does not answer, best first.
     pub(crate) fn helpers(&self, now: TimePoint) -> Vec<HostRecord> {
         lock(&self.topology).helpers(now)
     }
 
-    /// Takes in all hosts that are registered.
+    /// Replaces the registered hosts of all zones.
     pub(crate) fn set_hosts(&self, records: Vec<HostRecord>) {
         lock(&self.topology).set_hosts(records);
     }
 
-    /// Notes that a host to learn from was of no use.
+    /// Skips a source for a while because its answer was of no use.
     pub(crate) fn skip_source(&self, now: TimePoint, host: &Name, reason: SkipReason) {
         lock(&self.topology).skip_source(now, host, reason);
     }
 
-    /// Notes that a host was of no use that was asked for help.
+    /// Skips a helper for a while because its answer was of no use.
     pub(crate) fn skip_helper(&self, now: TimePoint, host: &Name, reason: SkipReason) {
         lock(&self.topology).skip_helper(now, host, reason);
     }
 
-    /// Notes that the store gives this host no answer either.
+    /// Stops skipping sources that were only stale, because the store does not answer this host either.
     pub(crate) fn restore_stale_sources(&self) {
         lock(&self.topology).restore_stale_sources();
     }
 
-    /// Takes news in.
+    /// Applies an update, and wakes the waiting requests unless the update is empty.
     pub(crate) fn apply(&self, kind: ObjectKind, update: &FeedUpdate<StoreObject>) {
         lock(&self.logs)
             .entry(kind)
@@ -118,7 +118,7 @@
         self.waiters.wake();
     }
 
-    /// What changed after a revision; none if this host may not tell.
+    /// The changes after a revision, or a snapshot; `None` if this host must not pass its copy on.
     pub(crate) fn update_after(
         &self,
         kind: ObjectKind,
@@ -127,12 +127,12 @@
         lock(&self.logs).get(&kind)?.update_after(revision)
     }
 
-    /// Whether this host has heard of any objects of that kind.
+    /// Whether this host has received an update of this kind.
     pub(crate) fn has_updates(&self, kind: ObjectKind) -> bool {
         lock(&self.logs).contains_key(&kind)
     }
 
-    /// Completes when news of any kind are there.
+    /// A receiver that completes when an update of any kind is applied that is not empty.
     pub(crate) fn update_signal(&self) -> oneshot::Receiver<()> {
         self.waiters.wait()
     }
--- a/crates/hollyhook_gateway/src/peer/host_registrar.rs
+++ b/crates/hollyhook_gateway/src/peer/host_registrar.rs
@@ -8,29 +8,29 @@
 use crate::gateway::GatewayContext;
 use crate::store::{StoreClient, StoreError};
 
-/// The pause between writing the own entry and reading those of others, which start at about the same time: within 0.3 s of
-/// each other, and 0.1 s each until they write. Until then each reads the store for itself.
+/// Delay between writing this host's entry and listing the other hosts. Hosts that start together start within 0.3 s
+/// of each other, and write their entries 0.1 s later. Until they have listed the others, each reads the store itself.
 const FIRST_LIST_DELAY: Duration = Duration::from_millis(500);
-/// The pause until they are read again, for those that came later, and since the list may be some seconds old.
+/// Delay until the hosts are listed again, because more may have registered and the list may be some seconds old.
 const SECOND_LIST_DELAY: Duration = Duration::from_secs(3);
-/// How often the others are read again, those of the own zone and of one other. Hosts come and go a few times an hour, and what
-/// is missed meanwhile costs calls to the store but serves callers no worse.
+/// Interval at which the hosts of the own zone and of one other zone are listed. Hosts come and go a few times an hour;
+/// a change that is not known yet costs calls to the store, but callers are served no worse.
 const LIST_INTERVAL: Duration = Duration::from_secs(20);
-/// The pause after a failed call.
+/// Delay after a failed call to the store.
 const RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Makes this host known to the others through the store, and learns of them: at once of those of its zone, from whom it
-/// learns what the store holds, and of the others later.
+/// Registers this host in the store and lists the other hosts.
 ///
-/// Entries of hosts that are gone stay; who asks such a host passes it over.
+/// The hosts of the own zone, from which this host gets the contents of the store, are listed at once, and those of
+/// other zones later. Entries of hosts that are gone are not removed; hosts that ask such a host skip it.
 #[derive(Debug)]
 pub(crate) struct HostRegistrar {
     context: Arc<GatewayContext>,
     client: StoreClient,
     own: HostRecord,
-    /// The hosts of each zone as they were last listed.
+    /// The hosts of each zone, as last listed.
     zones: BTreeMap<ZoneName, Vec<HostRecord>>,
-    /// The other zone that was listed last.
+    /// The zone, other than the own one, that was listed last.
     last_listed: ZoneName,
 }
 
@@ -42,8 +42,8 @@
 
     /// Registers and lists until the process ends.
     ///
-    /// A host that starts again finds its entry in the list, which costs a tenth of a call, and the hosts to follow with it: all
-    /// hosts of a site may lose power and start at once.
+    /// The first step is a list, which costs a tenth of a call. A host that restarts finds its own entry in it, and the
+    /// hosts to follow: all hosts of a site may lose power and start at once.
     pub(crate) async fn run(mut self) {
         let mut is_registered = self.try_list().await.is_some_and(|is_listed| is_listed);
         let mut era = self.context.feed.era();
@@ -56,7 +56,7 @@
             self.list_other(zone).await;
         }
         loop {
-            let is_older = self.context.feed.era() > era;
+            let has_new_era = self.context.feed.era() > era;
             era = self.context.feed.era();
             let is_listed = loop {
                 match self.try_list().await {
@@ -64,8 +64,8 @@
                     None => self.context.timer.wait(RETRY_DELAY).await,
                 }
             };
-            // The copy from which the store came back may be from before this host's entry.
-            if is_older && !is_listed {
+            // The older copy that the store was restored from may not contain this host's entry.
+            if has_new_era && !is_listed {
                 while !self.register().await {}
             }
             self.context.timer.wait(LIST_INTERVAL).await;
@@ -75,22 +75,23 @@
         }
     }
 
-    /// The other zones, as far as their endpoints are known.
+    /// The other zones in which this host knows endpoints.
     fn other_zones(&self) -> BTreeSet<ZoneName> {
         let table = self.context.endpoints.table();
         let zones = table.iter().map(|record| &record.zone).filter(|zone| **zone != self.own.zone);
         zones.cloned().collect()
     }
 
-    /// The other zone that is to be listed next, one after the other.
+    /// The other zone to list next, in the order of their names.
     fn next_zone(&self) -> Option<ZoneName> {
         let zones = self.other_zones();
         let later = zones.range::<str, _>((Bound::Excluded(&*self.last_listed), Bound::Unbounded)).next();
         later.or(zones.first()).cloned()
     }
 
-    /// Lists the hosts of another zone. They are asked only when the store gives no answer, and counted; what is known of them
-    /// stays if it gives none now.
+    /// Lists the hosts of another zone; keeps the last list if the store does not answer.
+    ///
+    /// These hosts are asked only when the store does not answer, and count towards the number of hosts.
     async fn list_other(&mut self, zone: ZoneName) {
         self.last_listed = ZoneName::clone(&zone);
         match self.list(&zone).await {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Writes this host's entry and lists the others; tells whether it was written.
+    /// Writes this host's entry and lists the hosts of its zone; returns whether the entry was written.
     async fn register(&mut self) -> bool {
         if let Err(error) = self.client.register_host(&self.own).await {
             tracing::info!(%error, "host.not_registered");
@@ -114,8 +115,8 @@
         true
     }
 
-    /// Lists the hosts of the own zone; tells whether this one's entry is there as it should be. None if the store did not
-    /// answer.
+    /// Lists the hosts of the own zone, and returns whether this host's entry is among them and correct; `None` if the
+    /// store did not answer.
     async fn try_list(&mut self) -> Option<bool> {
         let zone = ZoneName::clone(&self.own.zone);
         let listed = self.list(&zone).await;
@@ -125,6 +126,7 @@
         Some(is_listed)
     }
 
+    /// Replaces the hosts of a zone.
     fn apply(&mut self, zone: ZoneName, records: Vec<HostRecord>) {
         self.zones.insert(zone, records);
         let records: Vec<HostRecord> = self.zones.values().flatten().cloned().collect();
@@ -133,6 +135,7 @@
         self.context.board.count("hosts_listed");
     }
 
+    /// Reads the hosts of a zone from the store; logs and leaves out entries that are malformed or of another zone.
     async fn list(&mut self, zone: &ZoneName) -> Result<Vec<HostRecord>, StoreError> {
         let objects = self.client.list_hosts(zone).await?;
         let mut records = Vec::with_capacity(objects.len());
--- a/crates/hollyhook_gateway/src/peer/mod.rs
+++ b/crates/hollyhook_gateway/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! What hosts of a zone tell each other of what they read of the platform's store.
+//! The exchange of the store's contents between hosts: a few hosts of a zone read the store and update the others.
 
 mod feed_message;
 mod feed_server;
--- a/crates/hollyhook_gateway/src/peer/peer_client.rs
+++ b/crates/hollyhook_gateway/src/peer/peer_client.rs
@@ -8,20 +8,21 @@
 use super::feed_message::{FeedMessage, FeedQuery};
 use crate::net::{ExchangeError, PersistentClient, build_request};
 
-/// Why another host is asked.
+/// The role in which another host is asked for an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PeerRole {
-    /// It reads the store for the zone, and this one tells others: it waits for changes if there are none.
+    /// A leader that a relay asks. It waits for changes if there are none.
     Leader,
-    /// It tells this one what the store holds: it waits for changes if there are none.
+    /// A leader or relay that a follower asks. It waits for changes if there are none.
     Source,
-    /// It tells all objects to this one, which has just started, as soon as it knows them.
+    /// A source that is asked for the rest of a long list. It answers as soon as it has received an update itself.
     ListSource,
-    /// It reads the store for itself, which gives this host no answer: it answers at once.
+    /// A host that is asked for its copy because the store does not answer this host. It answers at once.
     Helper,
 }
 
 impl PeerRole {
+    /// How long the request may wait for changes at the other host.
     fn wait(self, timing: FeedTiming) -> Duration {
         match self {
             Self::Leader => timing.relay_wait(),
@@ -31,7 +32,7 @@
         }
     }
 
-    /// How long the answer may take.
+    /// How long the answer may take in total.
     fn timeout(self, timing: FeedTiming) -> Duration {
         match self {
             Self::ListSource => timing.list_timeout(),
@@ -39,6 +40,7 @@
         }
     }
 
+    /// Whether the copy in an answer is too old to use.
     fn is_stale(self, timing: FeedTiming, message: &FeedMessage) -> bool {
         let age = Duration::from_millis(message.age_ms);
         match self {
@@ -48,10 +50,12 @@
     }
 }
 
-/// Why another host's answer is of no use.
+/// Why a request to another host returned no usable update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PeerError {
+    /// Why the other host is to be skipped.
     pub(crate) reason: SkipReason,
+    /// A description for the log.
     pub(crate) detail: &'static str,
 }
 
@@ -62,23 +66,23 @@
 }
 
 impl From<ExchangeError> for PeerError {
-    fn from(fault: ExchangeError) -> Self {
-        Self { reason: SkipReason::Failed, detail: fault.0 }
+    fn from(error: ExchangeError) -> Self {
+        Self { reason: SkipReason::Failed, detail: error.0 }
     }
 }
 
-/// A question to another host.
+/// A request for an update from another host.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PeerRequest {
     pub(crate) role: PeerRole,
     pub(crate) kind: ObjectKind,
-    /// The revision after which changes are asked for; none asks for everything.
+    /// The revision after which changes are requested; `None` requests a snapshot.
     pub(crate) after: Option<StoreRevision>,
     pub(crate) timing: FeedTiming,
     pub(crate) sent_at: TimePoint,
 }
 
-/// Asks other hosts over one kept connection.
+/// Requests updates from other hosts over one persistent connection.
 #[derive(Debug)]
 pub(crate) struct PeerClient {
     client: PersistentClient,
@@ -89,11 +93,11 @@
         Self { client: PersistentClient::new(timer) }
     }
 
-    /// What changed after a revision, by what a host knows of the store.
+    /// Requests an update from another host.
     ///
     /// # Errors
     ///
-    /// What is wrong, if it does not answer, may not tell, or knows only what is too old.
+    /// Why the update is of no use: the host did not answer, must not pass its copy on, or has a copy that is too old.
     pub(crate) async fn fetch_update(
         &mut self,
         host: &HostRecord,
@@ -105,12 +109,12 @@
         let request = build_request(Method::GET, host.address, &query.to_path(), "")?;
         let response = self.client.call(host.address, request, role.timeout(timing)).await?;
         if response.status() != StatusCode::OK {
-            return Err(PeerError::stale("it does not read the store"));
+            return Err(PeerError::stale("the host has no copy of the store that it may pass on"));
         }
         let message: FeedMessage =
-            serde_json::from_slice(response.body()).map_err(|_error| ExchangeError("it can't be understood"))?;
+            serde_json::from_slice(response.body()).map_err(|_error| ExchangeError("the answer can't be parsed"))?;
         if role.is_stale(timing, &message) {
-            return Err(PeerError::stale("what it knows is too old"));
+            return Err(PeerError::stale("the copy of the host is too old"));
         }
         Ok(message.into_update(sent_at, wait))
     }
