--- a/crates/hollyhook_gateway/src/gateway/endpoint_directory.rs
+++ b/crates/hollyhook_gateway/src/gateway/endpoint_directory.rs
@@ -13,7 +13,8 @@
 use crate::sync::lock;
 
 /// By how much the load in the own zone may exceed that of other zones, in requests per slot, before requests are sent
-/// there. Another zone adds little latency, but requests that run there are lost when the zones are partitioned.
+/// to another zone. That adds little latency, but requests that run in another zone are lost when the zones are
+/// partitioned.
 const ZONE_PREFERENCE: f64 = 0.25;
 /// Number of hosts among which a rate limit is divided before the hosts have been listed.
 const UNLISTED_HOSTS: usize = 16;
--- a/crates/hollyhook_gateway/src/gateway/gateway_context.rs
+++ b/crates/hollyhook_gateway/src/gateway/gateway_context.rs
@@ -21,8 +21,8 @@
 use crate::pool::ConnectionPool;
 use crate::sync::lock;
 
-/// Margin by which the time is shortened for which API keys are accepted without confirmation. It covers how long
-/// watches may miss changes while the store compacts its history, and the round trip to the store.
+/// Subtracted from the time for which API keys are accepted without confirmation. Covers how long watches may miss
+/// changes while the store compacts its history, and the round trip to the store.
 const CONFIRMATION_MARGIN: Duration = Duration::from_millis(1_250);
 /// How long after the start of the process a request may wait for the configuration and the endpoints to be read from
 /// the store. Reading both takes about a tenth of a second on the smallest hosts, and callers return at the moment at
@@ -35,12 +35,12 @@
 /// start together write their entries within 0.4 s of each other, and read them half a second later. Changes in the
 /// meantime are received that much later, well within the bounds of any site.
 const LISTING_WAIT: Duration = Duration::from_millis(1_200);
-/// [`LISTING_WAIT`] before a process reads the rest of a first list of many pages; it serves callers with the first
-/// page already. Where hundreds of hosts start at once, the store's link takes some seconds to send the list of hosts
-/// to all of them.
+/// How long after its start a process waits for the other hosts to be listed before it reads the rest of a first list
+/// of many pages; it already serves callers with the first page. Where hundreds of hosts start at once, the store's
+/// link takes some seconds to send the list of hosts to all of them.
 const FIRST_LIST_WAIT: Duration = Duration::from_secs(3);
 /// How often the task that reads the first list of endpoints checks whether the configuration and the roll-out orders
-/// have been read. Short, since callers wait for that list and all of them are read at the same time.
+/// have been read. Short, since callers wait for that list, and the three are read at the same time.
 const SITE_CHECK: Duration = Duration::from_millis(2);
 
 /// The state and services that the parts of a gateway share.
@@ -252,7 +252,7 @@
         is_serving && self.has_endpoints.load(Ordering::Relaxed) && self.is_site_current()
     }
 
-    /// Records that the endpoints have been read for the first time.
+    /// Records that enough endpoints have been read to serve callers.
     pub(crate) fn mark_endpoints_listed(&self) {
         self.has_endpoints.store(true, Ordering::Relaxed);
     }
--- a/crates/hollyhook_gateway/src/gateway/gateway_process.rs
+++ b/crates/hollyhook_gateway/src/gateway/gateway_process.rs
@@ -14,9 +14,9 @@
 use crate::store::{EndpointWatch, RolloutWatch, SiteWatch};
 
 /// How often idle connections past their keep-alive are closed.
-const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
+const CLOSE_INTERVAL: Duration = Duration::from_secs(1);
 /// How often a gateway that shuts down checks whether all requests have ended.
-const STOP_INTERVAL: Duration = Duration::from_millis(50);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A running gateway.
 #[derive(Debug)]
@@ -92,7 +92,7 @@
                 tracing::info!("gateway.stopped");
                 return true;
             }
-            timer.wait(STOP_INTERVAL).await;
+            timer.wait(STOP_CHECK_INTERVAL).await;
         }
         tracing::warn!(requests = self.context.load.requests(), "gateway.cut_off");
         false
@@ -137,7 +137,7 @@
 
 async fn close_expired_connections(context: Arc<GatewayContext>) {
     loop {
-        context.timer.wait(PRUNE_INTERVAL).await;
+        context.timer.wait(CLOSE_INTERVAL).await;
         context.pool.close_expired();
     }
 }
--- a/crates/hollyhook_gateway/src/gateway/quarantine_tracker.rs
+++ b/crates/hollyhook_gateway/src/gateway/quarantine_tracker.rs
@@ -146,7 +146,7 @@
         for (digest, record) in entries.values().flatten() {
             merged.entry(*digest).or_default().merge(record);
         }
-        // The lock on the entries is still held, so that records that are read later are merged later as well.
+        // The entries stay locked during the merge, so that records are merged in the order in which they were read.
         let change = lock(&self.ledger).merge_stored(unix_millis(), merged);
         drop(entries);
         self.log(&change);
@@ -159,10 +159,10 @@
         lock(&self.ledger).records_to_write(is_reader)
     }
 
-    /// Whether this host has to write crash records and no task does so; if so, the caller has to from now on.
+    /// Whether this host has to write crash records and no task does so yet; if so, the caller has to write them.
     ///
-    /// `is_reader` tells whether this host reads the store on behalf of others. It takes a while to find out, and is
-    /// called only if a record is missing in the store.
+    /// `is_reader` tells whether this host reads the store on behalf of others. It takes a while, and is called only
+    /// if a record is missing in the store.
     pub(crate) fn begin_writing(&self, is_reader: impl FnOnce() -> bool) -> bool {
         let is_missing = lock(&self.ledger).has_records_to_write(true);
         let is_own = || lock(&self.ledger).has_records_to_write(is_reader());
--- a/crates/hollyhook_gateway/src/gateway/request_load.rs
+++ b/crates/hollyhook_gateway/src/gateway/request_load.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// Memory that is reserved for a request body until it is dropped.
+/// Memory that is reserved for a request body until the reservation is dropped.
 #[derive(Debug)]
 pub(crate) struct BodyReservation {
     load: Arc<RequestLoad>,
--- a/crates/hollyhook_gateway/src/gateway/retry_budgets.rs
+++ b/crates/hollyhook_gateway/src/gateway/retry_budgets.rs
@@ -6,8 +6,8 @@
 
 use crate::sync::lock;
 
-/// The fraction of its retry allowance that each host spends. The rest is a margin for clocks and windows that differ
-/// between hosts, so that the hosts together stay within the allowance.
+/// The fraction of the permitted retries per request that each host spends. The rest is a margin for clocks and windows
+/// that differ between hosts, so that all hosts together stay within the limit.
 const RETRY_SHARE: f64 = 0.75;
 /// Hosts among which the fixed part of the retry allowance is divided, however many there are; docs/CAPACITY.md states
 /// the result with a thousand hosts.
--- a/crates/hollyhook_gateway/src/gateway/rollout_tracker.rs
+++ b/crates/hollyhook_gateway/src/gateway/rollout_tracker.rs
@@ -352,7 +352,7 @@
         lock(&self.state).rollouts.get(service).map(|rollout| rollout.evidence.clone()).unwrap_or_default()
     }
 
-    /// Whether a roll-out is active and no task works on the roll-outs; if so, the caller has to do so from now on.
+    /// Whether a roll-out is active and no task works on the roll-outs yet; if so, the caller has to work on them.
     pub(crate) fn begin_work(&self) -> bool {
         self.is_active() && !self.is_working.swap(true, Ordering::AcqRel)
     }
@@ -376,10 +376,9 @@
         }
         let is_checked =
             |version: &Name| self.checked_versions.contains(&(Name::clone(&service), Name::clone(version)));
-        let unchecked_versions: BTreeSet<Name> =
-            versions.keys().filter(|version| !is_checked(version)).cloned().collect();
-        if !unchecked_versions.is_empty() {
-            self.unchecked_versions.insert(service, unchecked_versions);
+        let unchecked: BTreeSet<Name> = versions.keys().filter(|version| !is_checked(version)).cloned().collect();
+        if !unchecked.is_empty() {
+            self.unchecked_versions.insert(service, unchecked);
         }
     }
 
@@ -389,8 +388,8 @@
             if self.blocked.contains(service) {
                 continue;
             }
-            let checked_versions = versions.iter().map(|version| (Name::clone(service), Name::clone(version)));
-            self.checked_versions.extend(checked_versions);
+            let checked = versions.iter().map(|version| (Name::clone(service), Name::clone(version)));
+            self.checked_versions.extend(checked);
         }
     }
 }
--- a/crates/hollyhook_gateway/src/peer/feed_server.rs
+++ b/crates/hollyhook_gateway/src/peer/feed_server.rs
@@ -60,8 +60,9 @@
     }
 }
 
-/// Waits for an update after the revision of the query; `None` if this host must not pass its copy on, or has received
-/// no update itself within the wait.
+/// Waits for changes after the revision of the query, and returns an empty update if there are none within the wait.
+///
+/// `None` if this host must not pass its copy on, or has received no update itself within the wait.
 async fn wait_for_update(context: &GatewayContext, query: &FeedQuery) -> Option<FeedUpdate<StoreObject>> {
     let deadline = context.timer.now() + query.wait.min(MAX_WAIT);
     loop {
@@ -69,8 +70,8 @@
         let signal = context.feed.update_signal();
         let update = context.feed.update_after(query.kind, query.after);
         let time_left = deadline.since(context.timer.now());
-        // After a loss of all hosts, a host that is asked starts at the same moment as the host that asks, and may not have
-        // received an update yet.
+        // After a loss of all hosts, a host that is asked starts at the same moment as the host that asks, and may not
+        // have received an update yet.
         let is_pending = update.as_ref().map_or(!context.feed.has_updates(query.kind), FeedUpdate::is_empty);
         if !is_pending || time_left.is_zero() {
             return update;
--- a/crates/hollyhook_gateway/src/peer/feed_state.rs
+++ b/crates/hollyhook_gateway/src/peer/feed_state.rs
@@ -132,7 +132,7 @@
         lock(&self.logs).contains_key(&kind)
     }
 
-    /// A receiver that completes when an update of any kind is applied that is not empty.
+    /// A receiver that completes when a non-empty update of any kind is applied.
     pub(crate) fn update_signal(&self) -> oneshot::Receiver<()> {
         self.waiters.wait()
     }
--- a/crates/hollyhook_gateway/src/peer/host_registrar.rs
+++ b/crates/hollyhook_gateway/src/peer/host_registrar.rs
@@ -82,7 +82,7 @@
         zones.cloned().collect()
     }
 
-    /// The other zone to list next, in the order of their names.
+    /// The other zone to list next, in the order of the zones' names.
     fn next_zone(&self) -> Option<ZoneName> {
         let zones = self.other_zones();
         let later = zones.range::<str, _>((Bound::Excluded(&*self.last_listed), Bound::Unbounded)).next();
@@ -91,7 +91,7 @@
 
     /// Lists the hosts of another zone; keeps the last list if the store does not answer.
     ///
-    /// These hosts are asked only when the store does not answer, and count towards the number of hosts.
+    /// These hosts are asked only when the store does not answer, and count among the hosts that share rate limits.
     async fn list_other(&mut self, zone: ZoneName) {
         self.last_listed = ZoneName::clone(&zone);
         match self.list(&zone).await {
