--- a/crates/hollyhook_gateway/src/gateway/quarantine_tracker.rs
+++ b/crates/hollyhook_gateway/src/gateway/quarantine_tracker.rs
@@ -161,8 +161,8 @@
 
     /// Whether this host has to write crash records and no task does so yet; if so, the caller has to write them.
     ///
-    /// `is_reader` tells whether this host reads the store on behalf of others. It takes a while, and is called only
-    /// if a record is missing in the store.
+    /// `is_reader` tells whether this host reads the store on behalf of others. The call takes a while, and is made
+    /// only if a record is missing in the store.
     pub(crate) fn begin_writing(&self, is_reader: impl FnOnce() -> bool) -> bool {
         let is_missing = lock(&self.ledger).has_records_to_write(true);
         let is_own = || lock(&self.ledger).has_records_to_write(is_reader());
--- a/crates/hollyhook_gateway/src/peer/peer_client.rs
+++ b/crates/hollyhook_gateway/src/peer/peer_client.rs
@@ -15,7 +15,8 @@
     Leader,
     /// A leader or relay that a follower asks. It waits for changes if there are none.
     Source,
-    /// A source that is asked so that a long list need not be read from the store to its end. It answers as soon as it has received an update itself.
+    /// A source that is asked so that a long list need not be read from the store to its end. It answers as soon as it
+    /// has received an update itself.
     ListSource,
     /// A host that is asked for its copy because the store does not answer this host. It answers at once.
     Helper,
