--- a/crates/hollyhook_gateway/src/gateway/live_settings.rs
+++ b/crates/hollyhook_gateway/src/gateway/live_settings.rs
@@ -3,22 +3,24 @@
 use hollyhook_core::{StopPlan, TimePoint};
 use hollyhook_settings::{GatewayBounds, GatewaySettings};
 
-/// The settings that may change while the process runs, and the stop that follows from them.
+/// The settings that may change while the process runs, and when its graceful shutdown began.
 #[derive(Debug)]
 pub(super) struct LiveSettings {
     pub(super) bounds: GatewayBounds,
     pub(super) store: SocketAddr,
-    pub(super) stop_ordered: Option<TimePoint>,
+    /// When the graceful shutdown began; `None` if it has not.
+    pub(super) stop_began_at: Option<TimePoint>,
 }
 
 impl LiveSettings {
-    pub(super) fn stop(&self) -> StopPlan {
+    /// The plan of a graceful shutdown within the grace period of the settings.
+    pub(super) fn stop_plan(&self) -> StopPlan {
         StopPlan::new(self.bounds.grace)
     }
 }
 
 impl From<&GatewaySettings> for LiveSettings {
     fn from(settings: &GatewaySettings) -> Self {
-        Self { bounds: settings.bounds.clone(), store: settings.store, stop_ordered: None }
+        Self { bounds: settings.bounds.clone(), store: settings.store, stop_began_at: None }
     }
 }
--- a/crates/hollyhook_gateway/src/gateway/mod.rs
+++ b/crates/hollyhook_gateway/src/gateway/mod.rs
@@ -1,19 +1,19 @@
-//! The parts of a gateway, put together, and its start and stop.
+//! The state that the parts of a gateway share, and the start and graceful shutdown of the process.
 
 mod endpoint_directory;
 mod gateway_context;
 mod gateway_process;
 mod known_rollout;
 mod live_settings;
-mod quarantine_board;
+mod quarantine_tracker;
 mod request_load;
 mod retry_budgets;
-mod rollout_board;
+mod rollout_tracker;
 mod unix_time;
 
-pub(crate) use endpoint_directory::{EndpointDirectory, EndpointLack};
+pub(crate) use endpoint_directory::{EndpointDirectory, RoutingFailure};
 pub(crate) use gateway_context::GatewayContext;
 pub use gateway_process::Gateway;
 pub(crate) use known_rollout::KnownRollout;
-pub(crate) use request_load::{BodyClaim, RequestGuard};
-pub(crate) use rollout_board::VersionAnswer;
+pub(crate) use request_load::{BodyReservation, RequestGuard};
+pub(crate) use rollout_tracker::VersionAnswer;
--- a/crates/hollyhook_gateway/src/gateway/quarantine_board.rs
+++ b/crates/hollyhook_gateway/src/gateway/quarantine_tracker.rs
@@ -11,36 +11,38 @@
 use super::unix_time::unix_millis;
 use crate::sync::lock;
 
-/// The requests that end the endpoints which run them, and what the platform's store holds of these.
+/// The requests that crash the endpoints which run them, from the crashes that this host saw and those in the store.
 #[derive(Debug)]
-pub(crate) struct QuarantineBoard {
+pub(crate) struct QuarantineTracker {
     board: Arc<MetricBoard>,
     ledger: Mutex<CrashLedger>,
-    /// What is noted at endpoints' entries, by entry.
-    noted: Mutex<BTreeMap<Name, CrashRecords>>,
-    /// Whether the records are being written to the store.
+    /// The crash records in the store, by the endpoint entry that holds them.
+    entries: Mutex<BTreeMap<Name, CrashRecords>>,
+    /// Whether a task of this host writes the crash records to the store.
     is_writing: AtomicBool,
 }
 
-impl QuarantineBoard {
+impl QuarantineTracker {
     /// The name that the service is registered under.
     pub(crate) const NAME: &'static str = "quarantine";
 
-    /// An empty board, of services that are registered.
+    /// A tracker without crash records.
     ///
     /// # Errors
     ///
-    /// `Internal` if one of them is not registered.
+    /// `Internal` if a service that the tracker uses is not registered.
     pub(crate) fn new(registry: &ServiceRegistry) -> Result<Self> {
         Ok(Self {
             board: registry.find(MetricBoard::NAME)?,
             ledger: Mutex::default(),
-            noted: Mutex::default(),
+            entries: Mutex::default(),
             is_writing: AtomicBool::new(false),
         })
     }
 
-    /// For how much longer a request is refused, if it is; the digest is asked for only if any request is suspected.
+    /// How long a refused request should wait before it is tried again; `None` if the request is not refused.
+    ///
+    /// The digest is computed only if there are crash records or unanswered requests.
     pub(crate) fn refusal(&self, digest: impl FnOnce() -> RequestDigest) -> Option<Duration> {
         let ledger = lock(&self.ledger);
         if ledger.is_empty() {
@@ -49,25 +51,25 @@
         ledger.refusal(unix_millis(), &digest())
     }
 
-    /// Whether an endpoint ended under a request since it last did no harm.
+    /// Whether an endpoint crashed while running a request since one last ran it without crashing.
     pub(crate) fn is_suspected(&self, digest: impl FnOnce() -> RequestDigest) -> bool {
         let ledger = lock(&self.ledger);
         !ledger.is_empty() && ledger.is_suspected(&digest())
     }
 
-    /// Notes that an endpoint ended under a request.
+    /// Records that an endpoint crashed while running a request.
     pub(crate) fn record_crash(&self, digest: RequestDigest, endpoint: &str) {
         let change = lock(&self.ledger).record_crash(unix_millis(), digest, Name::from(endpoint));
         self.log(&change);
     }
 
-    /// Notes that an endpoint left a request without an answer, and may have ended.
+    /// Records that an endpoint left a request without an answer, and may have crashed.
     pub(crate) fn record_unanswered(&self, digest: RequestDigest, endpoint: &str) {
         lock(&self.ledger).record_unanswered(unix_millis(), digest, Name::from(endpoint));
     }
 
-    /// Notes that endpoints are gone without having said that they leave.
-    pub(crate) fn note_gone(&self, endpoints: &[EndpointId]) {
+    /// Counts unanswered requests as crashes, for endpoints that are gone without having announced that they leave.
+    pub(crate) fn confirm_crashes(&self, endpoints: &[EndpointId]) {
         let mut ledger = lock(&self.ledger);
         if ledger.is_empty() {
             return;
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Notes that a request is no longer tried here.
+    /// Records that this host no longer retries a request.
     pub(crate) fn record_given_up(&self, digest: impl FnOnce() -> RequestDigest) {
         let mut ledger = lock(&self.ledger);
         if !ledger.is_empty() {
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Notes that an endpoint ran a request and did not end.
+    /// Records that an endpoint ran a request without crashing.
     pub(crate) fn record_survival(&self, digest: impl FnOnce() -> RequestDigest) {
         let mut ledger = lock(&self.ledger);
         if ledger.is_empty() {
@@ -100,70 +102,74 @@
         self.log(&change);
     }
 
-    /// Takes in what hosts noted at an endpoint's entry.
-    pub(crate) fn read_entry(&self, object: &StoreObject) {
+    /// Reads the crash records that hosts stored at an endpoint's entry.
+    pub(crate) fn load_entry(&self, object: &StoreObject) {
         match hollyhook_platform::decode_crashes(object) {
-            Ok(records) => self.note_entry(&object.name, records),
+            Ok(records) => self.set_entry(&object.name, records),
             Err(error) => {
                 tracing::error!(%error, entry = %object.name, revision = object.revision, "quarantine.malformed");
             }
         }
     }
 
-    /// Takes in that these records stand at an endpoint's entry now.
-    pub(crate) fn note_entry(&self, entry: &Name, records: CrashRecords) {
-        self.change_noted(|noted| {
+    /// Replaces the known crash records of an endpoint's entry.
+    pub(crate) fn set_entry(&self, entry: &Name, records: CrashRecords) {
+        self.change_entries(|entries| {
             if records.is_empty() {
-                return noted.remove(entry).is_some();
+                return entries.remove(entry).is_some();
             }
-            noted.insert(Name::clone(entry), records.clone()) != Some(records)
+            entries.insert(Name::clone(entry), records.clone()) != Some(records)
         });
     }
 
-    /// Notes that an endpoint's entry is gone, and what stood there with it.
-    pub(crate) fn forget_entry(&self, entry: &Name) {
-        self.change_noted(|noted| noted.remove(entry).is_some());
+    /// Removes the crash records of an endpoint's entry that was removed from the store.
+    pub(crate) fn remove_entry(&self, entry: &Name) {
+        self.change_entries(|entries| entries.remove(entry).is_some());
     }
 
-    /// Notes that all other entries are gone.
+    /// Removes the crash records of all entries for which `is_present` returns false.
     pub(crate) fn retain_entries(&self, is_present: impl Fn(&Name) -> bool) {
-        self.change_noted(|noted| {
-            let before = noted.len();
-            noted.retain(|entry, _| is_present(entry));
-            noted.len() != before
+        self.change_entries(|entries| {
+            let before = entries.len();
+            entries.retain(|entry, _| is_present(entry));
+            entries.len() != before
         });
     }
 
-    /// Changes what is noted at entries, and lets the ledger know if that made a difference.
-    fn change_noted(&self, change: impl FnOnce(&mut BTreeMap<Name, CrashRecords>) -> bool) {
-        let mut noted = lock(&self.noted);
-        if !change(&mut noted) {
+    /// Changes the stored records, and merges them into the ledger if `change` returns true.
+    fn change_entries(&self, change: impl FnOnce(&mut BTreeMap<Name, CrashRecords>) -> bool) {
+        let mut entries = lock(&self.entries);
+        if !change(&mut entries) {
             return;
         }
-        let mut stored = CrashRecords::new();
-        for (digest, record) in noted.values().flatten() {
-            stored.entry(*digest).or_default().merge(record);
+        let mut merged = CrashRecords::new();
+        for (digest, record) in entries.values().flatten() {
+            merged.entry(*digest).or_default().merge(record);
         }
-        // Still with the lock on what is noted: what was read later must not be learnt first.
-        let change = lock(&self.ledger).merge_stored(unix_millis(), stored);
-        drop(noted);
+        // The entries stay locked during the merge, so that records are merged in the order in which they were read.
+        let change = lock(&self.ledger).merge_stored(unix_millis(), merged);
+        drop(entries);
         self.log(&change);
     }
 
-    /// The records that the store should hold, if this host is to write them.
+    /// The crash records that this host has to write to the store; `None` if it has none to write.
+    ///
+    /// `is_reader` tells whether this host reads the store on behalf of others.
     pub(crate) fn records_to_write(&self, is_reader: bool) -> Option<CrashRecords> {
         lock(&self.ledger).records_to_write(is_reader)
     }
 
-    /// Whether the records have to be written and nobody does so yet; if so, the caller does from now on.
+    /// Whether this host has to write crash records and no task does so yet; if so, the caller has to write them.
     ///
-    /// Whether this host reads the store for others takes a while to say, and is asked only if anything is missing there.
+    /// `is_reader` tells whether this host reads the store on behalf of others. The call takes a while, and is made
+    /// only if a record is missing in the store.
     pub(crate) fn begin_writing(&self, is_reader: impl FnOnce() -> bool) -> bool {
         let is_missing = lock(&self.ledger).has_records_to_write(true);
         let is_own = || lock(&self.ledger).has_records_to_write(is_reader());
         is_missing && is_own() && !self.is_writing.swap(true, Ordering::AcqRel)
     }
 
+    /// Records that the task that began the writing has ended.
     pub(crate) fn end_writing(&self) {
         self.is_writing.store(false, Ordering::Release);
     }
--- a/crates/hollyhook_gateway/src/gateway/rollout_board.rs
+++ b/crates/hollyhook_gateway/src/gateway/rollout_tracker.rs
@@ -14,40 +14,41 @@
 use rand::Rng;
 
 use super::EndpointDirectory;
-use super::known_rollout::{KnownRollout, heard_at};
+use super::known_rollout::{KnownRollout, first_seen_at};
 use crate::sync::{WakeList, lock};
 
-/// The part of the requests that a version on trial may get which it does get; the rest is for chance, and for what is moved
-/// to it shortly before the deadline.
-const TRIAL_PART: f64 = 0.8;
-/// How long after this host last heard of the store it still sends requests to a version on trial: what others see of it can't
-/// be heard of.
-const CONFIRMED_FOR: Duration = Duration::from_millis(2_500);
+/// The fraction of the permitted exposure that a version on trial gets. The rest leaves room for random variation, and
+/// for the requests that are moved to the version shortly before the deadline.
+const EXPOSURE_FRACTION: f64 = 0.8;
+/// How long after its last successful read of the store this host still sends requests to a version on trial. Without
+/// the store, it can't learn that the version failed at other hosts.
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(2_500);
 
-/// The roll-outs that this host knows of, which versions its requests may go to, and what it saw of those on trial.
+/// The roll-outs that this host knows, the versions that its requests may be routed to, and its evidence about the
+/// versions on trial.
 #[derive(Debug)]
-pub(crate) struct RolloutBoard {
+pub(crate) struct RolloutTracker {
     timer: Arc<TimerService>,
     board: Arc<MetricBoard>,
     endpoints: Arc<EndpointDirectory>,
-    state: Mutex<BoardState>,
+    state: Mutex<TrackerState>,
     waiters: WakeList,
-    /// Whether reports and decisions are being made.
+    /// Whether a task of this host reports evidence and decides about roll-outs.
     is_working: AtomicBool,
 }
 
 #[derive(Debug, Default)]
-struct BoardState {
-    /// The share of a service's requests that a version may get before it is judged; none where no roll-outs are ordered.
+struct TrackerState {
+    /// The share of a service's requests that a version may get before the verdict on it; `None` disables roll-outs.
     exposure: Option<f64>,
     rollouts: BTreeMap<Name, KnownRollout>,
-    /// Services whose order can't be read; nothing of theirs is moved.
+    /// Services whose roll-out order can't be decoded; their unchecked versions get no requests.
     blocked: BTreeSet<Name>,
-    /// Versions by service of which it is known whether they are on order.
-    vetted: BTreeSet<(Name, Name)>,
-    /// Versions by service of which it isn't yet.
-    unvetted: BTreeMap<Name, BTreeSet<Name>>,
-    /// When this host last heard of the store.
+    /// Services and versions that have been looked up among the roll-out orders.
+    checked_versions: BTreeSet<(Name, Name)>,
+    /// Versions by service that have not been looked up yet; they get no requests.
+    unchecked_versions: BTreeMap<Name, BTreeSet<Name>>,
+    /// When this host last read the orders from the store.
     confirmed: Option<TimePoint>,
 }
 
@@ -59,99 +60,105 @@
     pub(crate) endpoint: &'a EndpointId,
     pub(crate) version: &'a Name,
     pub(crate) is_failure: bool,
-    /// From the send to the answer, or to the first event of a stream.
+    /// Time from the send to the answer, or to the first event of a stream.
     pub(crate) first: Option<Duration>,
-    /// Between two events of a stream, in the mean.
+    /// Mean time between two events of a stream.
     pub(crate) gap: Option<Duration>,
 }
 
-impl RolloutBoard {
+impl RolloutTracker {
     /// The name that the service is registered under.
     pub(crate) const NAME: &'static str = "rollouts";
 
-    /// An empty board, of services that are registered; `exposure` is the share of a service's requests that a version
-    /// may get before it is judged, none where no roll-outs are ordered.
+    /// A tracker without roll-outs.
+    ///
+    /// `exposure` is the share of a service's requests that a version may get before the verdict on it; `None` disables
+    /// roll-outs.
     ///
     /// # Errors
     ///
-    /// `Internal` if one of them is not registered.
+    /// `Internal` if a service that the tracker uses is not registered.
     pub(crate) fn new(registry: &ServiceRegistry, exposure: Option<f64>) -> Result<Self> {
         Ok(Self {
             timer: registry.find(TimerService::NAME)?,
             board: registry.find(MetricBoard::NAME)?,
             endpoints: registry.find(EndpointDirectory::NAME)?,
-            state: Mutex::new(BoardState { exposure, ..BoardState::default() }),
+            state: Mutex::new(TrackerState { exposure, ..TrackerState::default() }),
             waiters: WakeList::default(),
             is_working: AtomicBool::new(false),
         })
     }
 
-    /// Takes in another share.
-    pub(crate) fn rebound(&self, exposure: Option<f64>) {
+    /// Changes the share of a service's requests that a version may get before the verdict on it.
+    pub(crate) fn set_exposure(&self, exposure: Option<f64>) {
         lock(&self.state).exposure = exposure;
     }
 
-    /// Whether roll-outs may be ordered here.
-    pub(crate) fn is_on(&self) -> bool {
+    /// Whether roll-outs are enabled.
+    pub(crate) fn is_enabled(&self) -> bool {
         lock(&self.state).exposure.is_some()
     }
 
-    /// Whether any roll-out is being decided, or a decision is missing in the store.
+    /// Whether any roll-out is undecided, or its state is missing in the store.
     pub(crate) fn is_active(&self) -> bool {
         lock(&self.state).rollouts.values().any(|rollout| rollout.is_active() || rollout.is_unwritten())
     }
 
-    /// Whether there are versions of which a list of the orders would tell whether they are on order. Where an order can't be
-    /// read it would not.
-    pub(crate) fn has_unvetted(&self) -> bool {
+    /// Whether there are unchecked versions that a list of the orders would settle.
+    ///
+    /// Versions of a service whose order can't be decoded don't count.
+    pub(crate) fn has_unchecked_versions(&self) -> bool {
         let state = lock(&self.state);
-        state.unvetted.keys().any(|service| !state.blocked.contains(service))
+        state.unchecked_versions.keys().any(|service| !state.blocked.contains(service))
     }
 
-    /// Whether a change of an order would matter to this host now.
-    pub(crate) fn is_awaited(&self) -> bool {
+    /// Whether this host has to learn of changes to the orders without delay.
+    pub(crate) fn is_watch_needed(&self) -> bool {
         !lock(&self.state).blocked.is_empty() || self.is_active()
     }
 
-    /// Completes when there is a version to be vetted.
-    pub(crate) fn signal(&self) -> oneshot::Receiver<()> {
+    /// A receiver that completes when a version has to be looked up among the orders.
+    pub(crate) fn unchecked_signal(&self) -> oneshot::Receiver<()> {
         self.waiters.wait()
     }
 
-    /// Which versions a request may go to; none if any.
+    /// Which versions a request may be routed to; `None` allows all versions.
     ///
-    /// A version on trial is drawn for a small share of the requests, and only for their first attempt (`is_first`): what
-    /// is sent again has been held up enough.
-    pub(crate) fn rule(&self, service: &Name, is_first: bool) -> Option<VersionFilter> {
+    /// A small share of the requests is drawn at random for a version on trial, on their first attempt only
+    /// (`is_first`): a request that is retried has already been delayed.
+    pub(crate) fn version_filter(&self, service: &Name, is_first: bool) -> Option<VersionFilter> {
         let state = lock(&self.state);
         let exposure = state.exposure?;
-        let unvetted = state.unvetted.get(service).cloned();
+        let unchecked_versions = state.unchecked_versions.get(service).cloned();
         let now = self.timer.now();
         let rollout = state.rollouts.get(service);
-        let is_heard = state.confirmed.is_some_and(|at| now.since(at) <= CONFIRMED_FOR);
+        let is_confirmed = state.confirmed.is_some_and(|at| now.since(at) <= MAX_CONFIRMATION_AGE);
         let target = rollout.map(|rollout| (Name::clone(&rollout.order.target), rollout.plan().share(now)));
         drop(state);
         let others = |version: Option<Name>| {
-            let except: BTreeSet<Name> = unvetted.clone().into_iter().flatten().chain(version).collect();
+            let except: BTreeSet<Name> = unchecked_versions.clone().into_iter().flatten().chain(version).collect();
             (!except.is_empty()).then(|| VersionFilter { except, ..VersionFilter::any() })
         };
         match target {
             None | Some((_, TargetShare::Unrestricted)) => others(None),
             Some((version, TargetShare::None)) => others(Some(version)),
             Some((version, TargetShare::All)) => {
-                let is_there = !self.live_endpoints(service, &version).is_empty();
-                is_there.then(|| VersionFilter::only(&version))
+                let has_live = !self.live_endpoints(service, &version).is_empty();
+                has_live.then(|| VersionFilter::only(&version))
             }
             Some((version, TargetShare::Trial)) => {
-                let drawn =
-                    if is_first && is_heard { self.draw(service, &version, exposure * TRIAL_PART) } else { None };
-                drawn.or_else(|| others(Some(version)))
+                let trial = if is_first && is_confirmed {
+                    self.draw_trial(service, &version, exposure * EXPOSURE_FRACTION)
+                } else {
+                    None
+                };
+                trial.or_else(|| others(Some(version)))
             }
         }
     }
 
-    /// The rule for a request that is drawn for the version on trial, if it is.
-    fn draw(&self, service: &Name, version: &Name, share: f64) -> Option<VersionFilter> {
+    /// Draws a request for the version on trial; `None` if it is not drawn, or the version has no live endpoint.
+    fn draw_trial(&self, service: &Name, version: &Name, share: f64) -> Option<VersionFilter> {
         if !rand::rng().random_bool(share.clamp(0.0, 1.0)) {
             return None;
         }
@@ -163,8 +170,8 @@
         Some(VersionFilter::only(version).endpoints(chosen))
     }
 
-    /// Whether an endpoint may be sent what another one has begun.
-    pub(crate) fn may_go_on_at(&self, service: &Name, version: &Name) -> bool {
+    /// Whether a generation that began at another endpoint may be resumed at an endpoint of this version.
+    pub(crate) fn may_continue_at(&self, service: &Name, version: &Name) -> bool {
         let state = lock(&self.state);
         let Some(rollout) = state.rollouts.get(service).filter(|_| state.exposure.is_some()) else {
             return true;
@@ -172,7 +179,7 @@
         let is_target = rollout.order.target == *version;
         match rollout.plan().share(self.timer.now()) {
             TargetShare::None => !is_target,
-            // While it is moved to, what runs elsewhere may still end there.
+            // While requests move to the target, generations at other versions may still end there.
             TargetShare::All => is_target || rollout.state == Some(RolloutState::Moving),
             TargetShare::Trial | TargetShare::Unrestricted => true,
         }
@@ -181,12 +188,12 @@
     fn live_endpoints(&self, service: &Name, target: &Name) -> Vec<EndpointId> {
         let table = self.endpoints.table();
         let live = table.iter().filter(|record| record.state == EndpointState::Live);
-        let meant = live.filter(|record| record.service == *service && record.version == *target);
-        meant.map(|record| EndpointId::clone(&record.id)).collect()
+        let matching = live.filter(|record| record.service == *service && record.version == *target);
+        matching.map(|record| EndpointId::clone(&record.id)).collect()
     }
 
-    /// Takes in what an endpoint answered.
-    pub(crate) fn note_answer(&self, answer: &VersionAnswer<'_>) {
+    /// Records an answer as evidence, if a roll-out of its service is undecided.
+    pub(crate) fn record_answer(&self, answer: &VersionAnswer<'_>) {
         let mut state = lock(&self.state);
         let Some(rollout) = state.rollouts.get_mut(answer.service).filter(|rollout| rollout.is_active()) else {
             return;
@@ -204,10 +211,11 @@
         }
     }
 
-    /// Looks for versions of which it is not known whether they are on order.
+    /// Updates the unchecked versions from the known endpoints, and wakes the waiting task if there are any.
     ///
-    /// Where all endpoints of a service are of one version, an order would have nothing to move to.
-    pub(crate) fn note_versions(&self) {
+    /// If no version of a service has been checked, the version of most endpoints counts as checked. A service whose
+    /// endpoints all run one version therefore has no unchecked version: there is no other version to move requests to.
+    pub(crate) fn check_versions(&self) {
         let mut state = lock(&self.state);
         if state.exposure.is_none() {
             return;
@@ -217,48 +225,48 @@
             let versions = counts.entry(Name::clone(&record.service)).or_default();
             *versions.entry(Name::clone(&record.version)).or_default() += 1;
         }
-        state.unvetted.clear();
+        state.unchecked_versions.clear();
         for (service, versions) in counts {
-            state.note_service(service, &versions);
+            state.check_service(service, &versions);
         }
-        if !state.unvetted.is_empty() {
+        if !state.unchecked_versions.is_empty() {
             drop(state);
             self.waiters.wake();
         }
     }
 
-    /// Notes that the store was heard of at a time.
+    /// Records that the orders were read from the store at `at`.
     pub(crate) fn confirm(&self, at: TimePoint) {
         let mut state = lock(&self.state);
         state.confirmed = state.confirmed.max(Some(at));
     }
 
-    /// Takes in all orders that there are, of when nothing was known of the versions that were looked for then.
-    pub(crate) fn take_list(&self, objects: &[StoreObject], looked_for: &BTreeMap<Name, BTreeSet<Name>>) {
+    /// Applies the list of all orders; `looked_up` holds the versions that were unchecked when the list was requested.
+    pub(crate) fn apply_list(&self, objects: &[StoreObject], looked_up: &BTreeMap<Name, BTreeSet<Name>>) {
         let missing: Vec<Name> = {
             let state = lock(&self.state);
             let present = |service: &Name| objects.iter().any(|object| object.name == *service);
             state.rollouts.keys().chain(&state.blocked).filter(|service| !present(service)).cloned().collect()
         };
         for service in &missing {
-            self.forget(service);
+            self.withdraw(service);
         }
         for object in objects {
-            self.take(object);
+            self.apply(object);
         }
-        lock(&self.state).vet(looked_for);
-        self.note_versions();
+        lock(&self.state).mark_checked(looked_up);
+        self.check_versions();
     }
 
-    /// The versions that are to be vetted.
-    pub(crate) fn unvetted(&self) -> BTreeMap<Name, BTreeSet<Name>> {
-        lock(&self.state).unvetted.clone()
+    /// The versions by service that have to be looked up among the orders.
+    pub(crate) fn unchecked_versions(&self) -> BTreeMap<Name, BTreeSet<Name>> {
+        lock(&self.state).unchecked_versions.clone()
     }
 
-    /// Takes in an order and what was written of it.
-    pub(crate) fn take(&self, object: &StoreObject) {
+    /// Applies an order and its status from the store.
+    pub(crate) fn apply(&self, object: &StoreObject) {
         match hollyhook_platform::decode_order(object) {
-            Ok(order) => self.take_order(object, order),
+            Ok(order) => self.apply_order(object, order),
             Err(error) => {
                 self.board.count("rollouts_malformed");
                 tracing::error!(%error, service = %object.name, revision = object.revision, "rollout.malformed");
@@ -267,12 +275,12 @@
         }
     }
 
-    fn take_order(&self, object: &StoreObject, order: RolloutOrder) {
+    fn apply_order(&self, object: &StoreObject, order: RolloutOrder) {
         let now = self.timer.now();
         let status = hollyhook_platform::decode_status(object, &order);
         let mut state = lock(&self.state);
         state.blocked.remove(&object.name);
-        state.vetted.insert((Name::clone(&order.service), Name::clone(&order.target)));
+        state.checked_versions.insert((Name::clone(&order.service), Name::clone(&order.target)));
         let known = state.rollouts.get(&order.service);
         let known = known.filter(|known| known.order.target == order.target && !known.is_withdrawn).cloned();
         let is_new = known.is_none();
@@ -282,7 +290,7 @@
             stored: None,
             state: None,
             state_since: now,
-            ordered_at: heard_at(now, &order, status.as_ref()),
+            ordered_at: first_seen_at(now, &order, status.as_ref()),
             is_withdrawn: false,
             evidence: TrialEvidence::default(),
         });
@@ -304,8 +312,10 @@
         state.rollouts.insert(service, rollout);
     }
 
-    /// Takes in that an order is gone. What was rolled back stays so until there is another order.
-    pub(crate) fn forget(&self, service: &Name) {
+    /// Withdraws the roll-out of a service whose order was removed.
+    ///
+    /// A version that was rolled back gets no requests until there is another order for the service.
+    pub(crate) fn withdraw(&self, service: &Name) {
         let mut state = lock(&self.state);
         state.blocked.remove(service);
         let Some(rollout) = state.rollouts.get_mut(service) else {
@@ -318,14 +328,14 @@
         }
     }
 
-    /// The roll-outs that are being decided, or whose decision is missing in the store.
+    /// The roll-outs that are undecided, or whose state is missing in the store.
     pub(crate) fn active(&self) -> Vec<KnownRollout> {
         let state = lock(&self.state);
         let active = state.rollouts.values().filter(|rollout| rollout.is_active() || rollout.is_unwritten());
         active.cloned().collect()
     }
 
-    /// What this host saw of the versions on trial, where it saw any answer of them.
+    /// This host's evidence on each roll-out whose target has answered a request here.
     pub(crate) fn reports(&self) -> Vec<TrialReport> {
         let state = lock(&self.state);
         let seen = state.rollouts.values().filter(|rollout| rollout.evidence.target_answers() > 0);
@@ -337,46 +347,49 @@
         reports.collect()
     }
 
-    /// What this host saw of one roll-out.
+    /// This host's evidence on the roll-out of a service; empty if there is none.
     pub(crate) fn evidence(&self, service: &Name) -> TrialEvidence {
         lock(&self.state).rollouts.get(service).map(|rollout| rollout.evidence.clone()).unwrap_or_default()
     }
 
-    /// Whether nobody here reports and decides yet; if so, the caller does from now on.
+    /// Whether a roll-out is active and no task works on the roll-outs yet; if so, the caller has to work on them.
     pub(crate) fn begin_work(&self) -> bool {
         self.is_active() && !self.is_working.swap(true, Ordering::AcqRel)
     }
 
+    /// Records that the task that began the work has ended.
     pub(crate) fn end_work(&self) {
         self.is_working.store(false, Ordering::Release);
     }
 }
 
-impl BoardState {
-    /// Looks at the versions of a service, and how many endpoints have each.
-    fn note_service(&mut self, service: Name, versions: &BTreeMap<Name, usize>) {
-        let is_vetted = |version: &Name| self.vetted.contains(&(Name::clone(&service), Name::clone(version)));
-        if !versions.keys().any(is_vetted)
+impl TrackerState {
+    /// Finds the unchecked versions of a service, given the number of endpoints of each version.
+    fn check_service(&mut self, service: Name, versions: &BTreeMap<Name, usize>) {
+        let is_checked =
+            |version: &Name| self.checked_versions.contains(&(Name::clone(&service), Name::clone(version)));
+        if !versions.keys().any(is_checked)
             && let Some((usual, _)) = versions.iter().max_by_key(|(_, count)| **count)
         {
-            // Nothing is known of any: most run what was there before.
-            self.vetted.insert((Name::clone(&service), Name::clone(usual)));
+            // No version has been checked: most endpoints run the version that was there before any order.
+            self.checked_versions.insert((Name::clone(&service), Name::clone(usual)));
         }
-        let is_vetted = |version: &Name| self.vetted.contains(&(Name::clone(&service), Name::clone(version)));
-        let unvetted: BTreeSet<Name> = versions.keys().filter(|version| !is_vetted(version)).cloned().collect();
-        if !unvetted.is_empty() {
-            self.unvetted.insert(service, unvetted);
+        let is_checked =
+            |version: &Name| self.checked_versions.contains(&(Name::clone(&service), Name::clone(version)));
+        let unchecked: BTreeSet<Name> = versions.keys().filter(|version| !is_checked(version)).cloned().collect();
+        if !unchecked.is_empty() {
+            self.unchecked_versions.insert(service, unchecked);
         }
     }
 
-    /// Takes in that no order beside those that are known names these versions.
-    fn vet(&mut self, looked_for: &BTreeMap<Name, BTreeSet<Name>>) {
-        for (service, versions) in looked_for {
+    /// Marks versions as checked after a list of the orders, except those of services whose order can't be decoded.
+    fn mark_checked(&mut self, looked_up: &BTreeMap<Name, BTreeSet<Name>>) {
+        for (service, versions) in looked_up {
             if self.blocked.contains(service) {
                 continue;
             }
-            let vetted = versions.iter().map(|version| (Name::clone(service), Name::clone(version)));
-            self.vetted.extend(vetted);
+            let checked = versions.iter().map(|version| (Name::clone(service), Name::clone(version)));
+            self.checked_versions.extend(checked);
         }
     }
 }
--- a/crates/hollyhook_gateway/src/peer/peer_client.rs
+++ b/crates/hollyhook_gateway/src/peer/peer_client.rs
@@ -8,20 +8,22 @@
 use super::feed_message::{FeedMessage, FeedQuery};
 use crate::net::{ExchangeError, PersistentClient, build_request};
 
-/// Why another host is asked.
+/// The role in which another host is asked for an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PeerRole {
-    /// It reads the store for the zone, and this one tells others: it waits for changes if there are none.
+    /// A leader that a relay asks. It waits for changes if there are none.
     Leader,
-    /// It tells this one what the store holds: it waits for changes if there are none.
+    /// A leader or relay that a follower asks. It waits for changes if there are none.
     Source,
-    /// It tells all objects to this one, which has just started, as soon as it knows them.
+    /// A source that is asked so that a long list need not be read from the store to its end. It answers as soon as it
+    /// has received an update itself.
     ListSource,
-    /// It reads the store for itself, which gives this host no answer: it answers at once.
+    /// A host that is asked for its copy because the store does not answer this host. It answers at once.
     Helper,
 }
 
 impl PeerRole {
+    /// How long the request may wait for changes at the other host.
     fn wait(self, timing: FeedTiming) -> Duration {
         match self {
             Self::Leader => timing.relay_wait(),
@@ -31,15 +33,16 @@
         }
     }
 
-    /// How long the answer may take.
-    fn limit(self, timing: FeedTiming) -> Duration {
+    /// How long the answer may take in total.
+    fn timeout(self, timing: FeedTiming) -> Duration {
         match self {
             Self::ListSource => timing.list_timeout(),
             Self::Leader | Self::Source | Self::Helper => timing.peer_timeout(self.wait(timing)),
         }
     }
 
-    fn is_too_old(self, timing: FeedTiming, message: &FeedMessage) -> bool {
+    /// Whether the copy in an answer is too old to use.
+    fn is_stale(self, timing: FeedTiming, message: &FeedMessage) -> bool {
         let age = Duration::from_millis(message.age_ms);
         match self {
             Self::Leader | Self::Source | Self::ListSource => timing.is_stale(age, message.hops),
@@ -48,37 +51,39 @@
     }
 }
 
-/// Why another host's answer is of no use.
+/// Why a request to another host returned no usable update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct PeerFault {
+pub(crate) struct PeerError {
+    /// Why the other host is to be skipped.
     pub(crate) reason: SkipReason,
-    pub(crate) why: &'static str,
+    /// A description for the log.
+    pub(crate) detail: &'static str,
 }
 
-impl PeerFault {
-    fn outdated(why: &'static str) -> Self {
-        Self { reason: SkipReason::Stale, why }
+impl PeerError {
+    fn stale(detail: &'static str) -> Self {
+        Self { reason: SkipReason::Stale, detail }
     }
 }
 
-impl From<ExchangeError> for PeerFault {
-    fn from(fault: ExchangeError) -> Self {
-        Self { reason: SkipReason::Failed, why: fault.0 }
+impl From<ExchangeError> for PeerError {
+    fn from(error: ExchangeError) -> Self {
+        Self { reason: SkipReason::Failed, detail: error.0 }
     }
 }
 
-/// A question to another host.
+/// A request for an update from another host.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct PeerQuestion {
+pub(crate) struct PeerRequest {
     pub(crate) role: PeerRole,
     pub(crate) kind: ObjectKind,
-    /// The revision after which changes are asked for; none asks for everything.
+    /// The revision after which changes are requested; `None` requests a snapshot.
     pub(crate) after: Option<StoreRevision>,
     pub(crate) timing: FeedTiming,
-    pub(crate) asked_at: TimePoint,
+    pub(crate) sent_at: TimePoint,
 }
 
-/// Asks other hosts over one kept connection.
+/// Requests updates from other hosts over one persistent connection.
 #[derive(Debug)]
 pub(crate) struct PeerClient {
     client: PersistentClient,
@@ -89,29 +94,29 @@
         Self { client: PersistentClient::new(timer) }
     }
 
-    /// What changed after a revision, by what a host knows of the store.
+    /// Requests an update from another host.
     ///
     /// # Errors
     ///
-    /// What is wrong, if it does not answer, may not tell, or knows only what is too old.
-    pub(crate) async fn ask(
+    /// Why the update is of no use: the host did not answer, must not pass its copy on, or has a copy that is too old.
+    pub(crate) async fn fetch_update(
         &mut self,
         host: &HostRecord,
-        question: PeerQuestion,
-    ) -> Result<FeedUpdate<StoreObject>, PeerFault> {
-        let PeerQuestion { role, kind, after, timing, asked_at } = question;
+        request: PeerRequest,
+    ) -> Result<FeedUpdate<StoreObject>, PeerError> {
+        let PeerRequest { role, kind, after, timing, sent_at } = request;
         let wait = role.wait(timing);
         let query = FeedQuery { kind, after, wait };
         let request = build_request(Method::GET, host.address, &query.to_path(), "")?;
-        let response = self.client.call(host.address, request, role.limit(timing)).await?;
+        let response = self.client.call(host.address, request, role.timeout(timing)).await?;
         if response.status() != StatusCode::OK {
-            return Err(PeerFault::outdated("it does not read the store"));
+            return Err(PeerError::stale("the host has no copy of the store that it may pass on"));
         }
         let message: FeedMessage =
-            serde_json::from_slice(response.body()).map_err(|_error| ExchangeError("it can't be understood"))?;
-        if role.is_too_old(timing, &message) {
-            return Err(PeerFault::outdated("what it knows is too old"));
+            serde_json::from_slice(response.body()).map_err(|_error| ExchangeError("the answer can't be parsed"))?;
+        if role.is_stale(timing, &message) {
+            return Err(PeerError::stale("the copy of the host is too old"));
         }
-        Ok(message.into_news(asked_at, wait))
+        Ok(message.into_update(sent_at, wait))
     }
 }
--- a/crates/hollyhook_gateway/src/store/endpoint_watch.rs
+++ b/crates/hollyhook_gateway/src/store/endpoint_watch.rs
@@ -96,22 +96,22 @@
         }
         for change in &update.changes {
             if let Some(object) = &change.object {
-                self.context.quarantine.read_entry(object);
+                self.context.quarantine.load_entry(object);
                 self.upsert(object);
             } else {
-                self.context.quarantine.forget_entry(&change.name);
+                self.context.quarantine.remove_entry(&change.name);
                 self.malformed.remove(&change.name);
                 self.suspect_entries.remove(&change.name);
                 self.mark_missing(&change.name);
             }
         }
         self.accept_suspect_entries();
-        self.context.quarantine.note_gone(&self.context.endpoints.take_lost());
-        self.context.rollouts.note_versions();
+        self.context.quarantine.confirm_crashes(&self.context.endpoints.take_lost());
+        self.context.rollouts.check_versions();
         QuarantineWriter::spawn_if_needed(&self.context);
         if update.is_snapshot {
             self.context.wait_for_versions().await;
-            self.context.note_endpoints_listed();
+            self.context.mark_endpoints_listed();
         }
         Ok(!update.changes.is_empty())
     }
@@ -198,7 +198,7 @@
             }
             Err(error) => {
                 // Whoever wrote the entry, it no longer describes a usable endpoint.
-                self.context.endpoints.forget_entry(&object.name, "malformed");
+                self.context.endpoints.remove_entry(&object.name, "malformed");
                 let logged = self.malformed.insert(Name::clone(&object.name), object.revision);
                 if logged != Some(object.revision) {
                     tracing::error!(%error, entry = %object.name, revision = object.revision, "endpoint.malformed");
@@ -211,7 +211,7 @@
     fn mark_missing(&mut self, entry: &Name) {
         let is_gone = lock(&self.membership).mark_missing(self.context.timer.now(), entry);
         if is_gone {
-            self.context.endpoints.forget_entry(entry, "removed");
+            self.context.endpoints.remove_entry(entry, "removed");
         } else {
             tracing::info!(%entry, "endpoint.kept");
         }
@@ -232,9 +232,10 @@
     for record in present.filter_map(|object| hollyhook_platform::decode_endpoint(object).ok()) {
         context.endpoints.upsert(record);
     }
-    context.rollouts.note_versions();
-    if !context.rollouts.has_unvetted() && site.services().all(|service| context.endpoints.has_live(service)) {
-        context.note_endpoints_listed();
+    context.rollouts.check_versions();
+    if !context.rollouts.has_unchecked_versions() && site.services().all(|service| context.endpoints.has_live(service))
+    {
+        context.mark_endpoints_listed();
     }
     objects.len()
 }
@@ -249,6 +250,6 @@
     context.timer.wait(due.since(context.timer.now())).await;
     let expired = lock(&membership).take_expired(context.timer.now());
     for entry in expired {
-        context.endpoints.forget_entry(&entry, "lapsed");
+        context.endpoints.remove_entry(&entry, "lapsed");
     }
 }
--- a/crates/hollyhook_gateway/src/store/feed_reader.rs
+++ b/crates/hollyhook_gateway/src/store/feed_reader.rs
@@ -10,7 +10,7 @@
 use super::partial_list::PartialList;
 use super::{StoreClient, StoreError};
 use crate::gateway::GatewayContext;
-use crate::peer::{PeerClient, PeerFault, PeerQuestion, PeerRole};
+use crate::peer::{PeerClient, PeerError, PeerRequest, PeerRole};
 
 /// Lower bound of a leader's watch wait, also if the leader's copy is old: a call that returns at once is charged and
 /// seldom brings changes.
@@ -114,7 +114,7 @@
             Err(error) => {
                 let is_unanswered = !matches!(error, StoreError::HistoryGone);
                 if is_unanswered {
-                    self.context.feed.forgive();
+                    self.context.feed.restore_stale_sources();
                 }
                 if is_unanswered
                     && let Some(mut update) = self.fetch_from_hosts(PeerRole::Helper, &self.helpers()).await
@@ -168,7 +168,7 @@
         self.revision = self.revision.max(Some(update.revision));
         self.era = update.revision.era;
         self.confirmed_until = update.confirmed_until;
-        self.context.feed.take(self.kind, update);
+        self.context.feed.apply(self.kind, update);
     }
 
     /// Asks hosts in turn for an update, and returns the first usable one. Hosts that did not provide one are skipped
@@ -179,17 +179,17 @@
         hosts: &[HostRecord],
     ) -> Option<FeedUpdate<StoreObject>> {
         for host in hosts {
-            let question = PeerQuestion {
+            let question = PeerRequest {
                 role,
                 kind: self.kind,
                 after: self.revision,
                 timing: self.context.feed_timing(),
-                asked_at: self.context.timer.now(),
+                sent_at: self.context.timer.now(),
             };
-            match self.peers.ask(host, question).await {
+            match self.peers.fetch_update(host, question).await {
                 Ok(update) if update.revision.era < self.context.feed.era() => {
-                    let why = "its copy is of an earlier era of the store";
-                    self.skip_host(role, host, PeerFault { reason: SkipReason::Stale, why });
+                    let detail = "its copy is of an earlier era of the store";
+                    self.skip_host(role, host, PeerError { reason: SkipReason::Stale, detail });
                 }
                 Ok(update) => {
                     self.observe_peer_era(host, &update);
@@ -204,23 +204,23 @@
     /// Records the era of the store that another host's update states, if it is newer than any seen before.
     fn observe_peer_era(&self, host: &HostRecord, update: &FeedUpdate<StoreObject>) {
         let (before, era) = (self.context.feed.era(), update.revision.era);
-        if era > 0 && self.context.feed.judge_era(Some(era)) == EraVerdict::Newer {
+        if era > 0 && self.context.feed.observe_era(Some(era)) == EraVerdict::Newer {
             tracing::info!(before, era, told_by = %host.host, "store.era");
         }
     }
 
     /// Logs that a host provided no usable update, and excludes the host as a source or helper for a while.
-    fn skip_host(&self, role: PeerRole, host: &HostRecord, fault: PeerFault) {
+    fn skip_host(&self, role: PeerRole, host: &HostRecord, fault: PeerError) {
         let now = self.context.timer.now();
         match role {
             PeerRole::Leader | PeerRole::Source | PeerRole::ListSource => {
-                tracing::info!(leader = %host.host, kind = self.kind.as_str(), reason = fault.why, "leader.passed_over");
+                tracing::info!(leader = %host.host, kind = self.kind.as_str(), reason = fault.detail, "leader.passed_over");
                 self.context.board.count("leaders_passed_over");
-                self.context.feed.pass_over(now, &host.host, fault.reason);
+                self.context.feed.skip_source(now, &host.host, fault.reason);
             }
             PeerRole::Helper => {
-                tracing::info!(helper = %host.host, kind = self.kind.as_str(), reason = fault.why, "helper.passed_over");
-                self.context.feed.pass_over_helper(now, &host.host, fault.reason);
+                tracing::info!(helper = %host.host, kind = self.kind.as_str(), reason = fault.detail, "helper.passed_over");
+                self.context.feed.skip_helper(now, &host.host, fault.reason);
             }
         }
     }
--- a/crates/hollyhook_gateway/src/store/quarantine_writer.rs
+++ b/crates/hollyhook_gateway/src/store/quarantine_writer.rs
@@ -67,13 +67,13 @@
             .crash_record_entry()
             .ok_or(StoreError::Unavailable("no endpoint has an entry to write crash records to"))?;
         let entry = self.client.read_object(ObjectKind::Endpoint, &name).await?;
-        self.context.quarantine.read_entry(&entry);
+        self.context.quarantine.load_entry(&entry);
         let Some(records) = self.records_to_write() else {
             return Ok(());
         };
         self.client.write_crashes(&entry, &records).await?;
         tracing::info!(entry = %name, count = records.len(), "quarantine.written");
-        self.context.quarantine.note_entry(&name, records);
+        self.context.quarantine.set_entry(&name, records);
         Ok(())
     }
 
--- a/crates/hollyhook_gateway/src/store/store_client.rs
+++ b/crates/hollyhook_gateway/src/store/store_client.rs
@@ -11,7 +11,7 @@
 
 use crate::gateway::GatewayContext;
 use crate::net::{ExchangeError, PersistentClient, build_request};
-use crate::peer::FeedBoard;
+use crate::peer::FeedState;
 
 /// Timeout of calls that list hosts or write this host's own objects. No request waits for these calls.
 const HOST_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -53,7 +53,7 @@
 pub(crate) struct StoreClient {
     client: PersistentClient,
     /// Tracks the newest era of the store that this host has seen, in answers of the store or of other hosts.
-    feed: Arc<FeedBoard>,
+    feed: Arc<FeedState>,
     /// Returns the store's current address, which a reload of the settings may change.
     address: Box<dyn Fn() -> SocketAddr + Send + Sync>,
     /// Address of the store at which the last list began; revisions of a store at another address don't compare.
@@ -275,7 +275,7 @@
     fn check_era(&self, response: &Response<Bytes>) -> Result<u64, StoreError> {
         let stated = hollyhook_platform::store_era(response.headers()).map_err(StoreError::Malformed)?;
         let before = self.feed.era();
-        match self.feed.judge_era(stated) {
+        match self.feed.observe_era(stated) {
             EraVerdict::Same => {}
             EraVerdict::Newer => tracing::info!(before, era = stated, "store.era"),
             EraVerdict::Older | EraVerdict::Missing if !response.status().is_success() => {}
