--- a/crates/hollyhook_gateway/src/forward/backup_replicator.rs
+++ b/crates/hollyhook_gateway/src/forward/backup_replicator.rs
@@ -96,7 +96,7 @@
 /// Frees a copy that will not be used. If the request fails, the engines evict the copy by themselves after a few
 /// seconds.
 async fn free_copy(context: Arc<GatewayContext>, run_target: EndpointTarget, copy: Name) {
-    let path = hollyhook_platform::free_path(&copy);
+    let path = hollyhook_platform::backup_free_path(&copy);
     let request = Request::delete(path).header(header::HOST, run_target.address.to_string()).body(Full::default());
     let Ok(request) = request else {
         return;
@@ -182,14 +182,14 @@
     }
 
     async fn copy_to(&self, target: &EndpointTarget) -> Option<Name> {
-        let order = hollyhook_platform::encode_copy_order(&self.caller.head.attempt_id, target.address).ok()?;
-        let request = Request::post(hollyhook_platform::copy_path())
+        let order = hollyhook_platform::encode_backup_request(&self.caller.head.attempt_id, target.address).ok()?;
+        let request = Request::post(hollyhook_platform::backup_path())
             .header(header::HOST, self.run_target.address.to_string())
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::from(order))
             .ok()?;
         let response = call_endpoint(&self.context, &self.run_target, request, COPY_TIMEOUT).await?;
         let is_done = response.parts.status.is_success();
-        if is_done { hollyhook_platform::decode_copy(&response.body).ok() } else { None }
+        if is_done { hollyhook_platform::decode_backup_handle(&response.body).ok() } else { None }
     }
 }
--- a/crates/hollyhook_gateway/src/forward/event_stream.rs
+++ b/crates/hollyhook_gateway/src/forward/event_stream.rs
@@ -250,7 +250,7 @@
             endpoint: Some(Name::clone(&slot.target.entry)),
             account: self.caller.account.as_ref().map(|account| Arc::clone(&account.name)),
             time_left: self.caller.time_left(self.context.timer.now()),
-            rank: Some(self.caller.priority()),
+            priority: Some(self.caller.priority()),
             weights: self.weights,
             cursor: self.relay.last(),
             backup_at: backup.as_ref().map(|backup| backup.source.address),
--- a/crates/hollyhook_gateway/src/front/status_server.rs
+++ b/crates/hollyhook_gateway/src/front/status_server.rs
@@ -44,7 +44,7 @@
 
 /// Responds to the balancer's readiness check: 200 if this host admits callers, 503 if not, 404 for another path.
 pub(crate) fn readiness_response(context: &GatewayContext, path: &str) -> Response<Full<Bytes>> {
-    if !hollyhook_platform::is_ready_path(path) {
+    if !hollyhook_platform::is_readiness_path(path) {
         return empty(StatusCode::NOT_FOUND);
     }
     empty(if context.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
--- a/crates/hollyhook_gateway/src/gateway/rollout_board.rs
+++ b/crates/hollyhook_gateway/src/gateway/rollout_board.rs
@@ -257,7 +257,7 @@
 
     /// Takes in an order and what was written of it.
     pub(crate) fn take(&self, object: &StoreObject) {
-        match hollyhook_platform::decode_order(object) {
+        match hollyhook_platform::decode_rollout_order(object) {
             Ok(order) => self.take_order(object, order),
             Err(error) => {
                 self.board.count("rollouts_malformed");
@@ -269,7 +269,7 @@
 
     fn take_order(&self, object: &StoreObject, order: RolloutOrder) {
         let now = self.timer.now();
-        let status = hollyhook_platform::decode_status(object, &order);
+        let status = hollyhook_platform::decode_rollout_status(object, &order);
         let mut state = lock(&self.state);
         state.blocked.remove(&object.name);
         state.vetted.insert((Name::clone(&order.service), Name::clone(&order.target)));
--- a/crates/hollyhook_gateway/src/store/feed_reader.rs
+++ b/crates/hollyhook_gateway/src/store/feed_reader.rs
@@ -299,6 +299,6 @@
 /// An object that is being deleted counts as gone.
 fn change(kind: ObjectKind, change: StoreChange) -> FeedChange<StoreObject> {
     let name = Name::clone(&change.object.name);
-    let is_gone = change.is_gone || change.object.is_deleting;
+    let is_gone = change.is_deleted || change.object.is_deleting;
     FeedChange { name, object: (!is_gone).then(|| strip(kind, change.object)) }
 }
--- a/crates/hollyhook_gateway/src/store/rollout_watch.rs
+++ b/crates/hollyhook_gateway/src/store/rollout_watch.rs
@@ -100,7 +100,7 @@
         self.context.rollouts.confirm(self.context.timer.now());
         let (changes, revision) = outcome;
         for change in changes {
-            if change.is_gone || change.object.is_deleting {
+            if change.is_deleted || change.object.is_deleting {
                 self.context.rollouts.forget(&change.object.name);
             } else {
                 self.context.rollouts.take(&change.object);
--- a/crates/hollyhook_gateway/src/store/store_client.rs
+++ b/crates/hollyhook_gateway/src/store/store_client.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use hollyhook_core::{CrashRecords, EraVerdict, HostRecord, Name, RolloutOrder, StoreRevision};
 use hollyhook_kernel::TimerService;
-use hollyhook_platform::{ObjectKind, RolloutStatus, StoreChange, StoreFault, StoreObject, StorePage, TrialReport};
+use hollyhook_platform::{FormatError, ObjectKind, RolloutStatus, StoreChange, StoreObject, StorePage, TrialReport};
 use http::{Method, Response, StatusCode};
 
 use crate::gateway::GatewayContext;
@@ -28,7 +28,7 @@
     /// The object to be created exists, or the one to be changed has changed.
     Exists,
     /// The answer can't be understood.
-    Malformed(StoreFault),
+    Malformed(FormatError),
 }
 
 impl fmt::Display for StoreError {
@@ -108,8 +108,8 @@
     async fn page(&mut self, path: &str, limit: Duration) -> Result<(u64, StorePage), StoreError> {
         let (era, body) = self.call(Method::GET, path, Bytes::new(), limit).await?;
         let page: StorePage = hollyhook_platform::decode_page(&body).map_err(StoreError::Malformed)?;
-        if page.nameless > 0 {
-            tracing::error!(count = page.nameless, "store.objects_nameless");
+        if page.unnamed_count > 0 {
+            tracing::error!(count = page.unnamed_count, "store.objects_nameless");
         }
         Ok((era, page))
     }
@@ -167,7 +167,7 @@
             // Since it came back from a copy, what it counts from this revision on is not what has changed.
             return Err(StoreError::HistoryGone);
         }
-        let (changes, number) = hollyhook_platform::decode_change(&body).map_err(StoreError::Malformed)?;
+        let (changes, number) = hollyhook_platform::decode_changes(&body).map_err(StoreError::Malformed)?;
         Ok((changes, StoreRevision::new(era, number)))
     }
 
@@ -228,7 +228,7 @@
         order: &RolloutOrder,
         status: &RolloutStatus,
     ) -> Result<(), StoreError> {
-        let body = hollyhook_platform::encode_status(object, order, status).map_err(StoreError::Malformed)?;
+        let body = hollyhook_platform::encode_rollout_status(object, order, status).map_err(StoreError::Malformed)?;
         let path = hollyhook_platform::status_path(ObjectKind::Rollout, &object.name);
         self.call(Method::PUT, &path, Bytes::from(body), Self::NOTE_TIMEOUT).await.map(|_answer| ())
     }
