--- a/crates/hollyhook_gateway/src/gateway/rollout_tracker.rs
+++ b/crates/hollyhook_gateway/src/gateway/rollout_tracker.rs
@@ -265,7 +265,7 @@
 
     /// Applies an order and its status from the store.
     pub(crate) fn apply(&self, object: &StoreObject) {
-        match hollyhook_platform::decode_order(object) {
+        match hollyhook_platform::decode_rollout_order(object) {
             Ok(order) => self.apply_order(object, order),
             Err(error) => {
                 self.board.count("rollouts_malformed");
@@ -277,7 +277,7 @@
 
     fn apply_order(&self, object: &StoreObject, order: RolloutOrder) {
         let now = self.timer.now();
-        let status = hollyhook_platform::decode_status(object, &order);
+        let status = hollyhook_platform::decode_rollout_status(object, &order);
         let mut state = lock(&self.state);
         state.blocked.remove(&object.name);
         state.checked_versions.insert((Name::clone(&order.service), Name::clone(&order.target)));
--- a/crates/hollyhook_gateway/src/store/feed_reader.rs
+++ b/crates/hollyhook_gateway/src/store/feed_reader.rs
@@ -314,6 +314,6 @@
 /// Converts a change read from the store; an object that is being deleted counts as removed.
 fn feed_change(kind: ObjectKind, change: StoreChange) -> FeedChange<StoreObject> {
     let name = Name::clone(&change.object.name);
-    let is_gone = change.is_gone || change.object.is_deleting;
+    let is_gone = change.is_deleted || change.object.is_deleting;
     FeedChange { name, object: (!is_gone).then(|| strip(kind, change.object)) }
 }
