--- a/crates/hollyhook_daemon/src/call/call_driver.rs
+++ b/crates/hollyhook_daemon/src/call/call_driver.rs
@@ -9,15 +9,15 @@
 use hollyhook_wire::HttpClient;
 use http_types::{Method, Request, Response, Url};
 
-use super::claim_service::ClaimGrant;
+use super::claim_service::ClaimOutcome;
 use crate::fleet::HostContext;
 use hollyhook_telemetry::MetricMeasure;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// When a refused caller may come back, before a spread of as much again.
+/// Minimum `Retry-After` delay of a call that was not run; a random delay of up to the same length is added.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Fields that are about one connection, or that the client writes itself.
-const HOP_FIELDS: [&str; 11] = [
+/// Header fields that are not forwarded: hop-by-hop fields, fields that the HTTP client sets itself, and credentials.
+const UNFORWARDED_HEADERS: [&str; 11] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -31,7 +31,7 @@
     "authorization",
 ];
 
-/// A call to a plain service, as it came.
+/// A call to a plain service, as received from its caller.
 #[derive(Debug)]
 pub(crate) struct PlainCall {
     pub(crate) account: AccountName,
@@ -43,7 +43,7 @@
     pub(crate) body: Vec<u8>,
 }
 
-/// Runs one call to its final answer.
+/// Runs one call to its final response: claims its idempotency key if needed, sends the call and retries it.
 pub(crate) struct CallDriver {
     context: Arc<HostContext>,
     call: PlainCall,
@@ -62,25 +62,25 @@
     }
 
     pub(crate) async fn run(mut self) -> Result<Response> {
-        let start = self.context.timer.now();
+        let started_at = self.context.timer.now();
         let is_repeatable = self.call.settings.is_repeatable(self.call.head.method().as_ref());
         let outcome = match self.call.key.clone() {
             Some(key) if !is_repeatable => self.run_claimed(&key).await,
             _ => self.run_guarded().await.1,
         };
-        let span = self.context.timer.now() - start;
+        let duration = self.context.timer.now() - started_at;
         let class = self.call.class.label();
-        self.context.board.record(MetricMeasure::PlainCall, &self.call.account, class, &[span]);
+        self.context.board.record(MetricMeasure::PlainCall, &self.call.account, class, &[duration]);
         outcome
     }
 
     async fn run_claimed(&mut self, key: &str) -> Result<Response> {
         let context = Arc::clone(&self.context);
         let request = self.fingerprint();
-        let record = context.claims.record(&self.call.account, &self.call.service, key, &request);
+        let record = context.claims.new_record(&self.call.account, &self.call.service, key, &request);
         match context.claims.claim(record.clone()).await? {
-            ClaimGrant::Granted => {}
-            ClaimGrant::Answered(answer) => {
+            ClaimOutcome::Granted => {}
+            ClaimOutcome::Answered(answer) => {
                 context.board.count("call_replayed");
                 let mut response = Response::new(answer.status);
                 response.insert_header("idempotent-replayed", "true");
@@ -88,7 +88,7 @@
                 response.insert_header("content-type", &*answer.content_type);
                 return Ok(response);
             }
-            ClaimGrant::Held(held) => return Err(self.held_error(held.made_at)),
+            ClaimOutcome::Held(earlier) => return Err(self.pending_claim_error(earlier.made_at)),
         }
         let (outcome, mut response) = self.run_guarded().await;
         match (outcome, &mut response) {
@@ -97,7 +97,7 @@
                 let body = response.body_bytes().await.unwrap_or_default();
                 let status = response.status().into();
                 let content_type = response.header("content-type").map_or("", |values| values.as_str()).to_owned();
-                context.claims.answer(record, status, &content_type, &body);
+                context.claims.store_answer(record, status, &content_type, &body);
                 response.set_body(body);
                 if !content_type.is_empty() {
                     response.insert_header("content-type", content_type);
@@ -108,35 +108,37 @@
         response
     }
 
-    /// A claim without an answer is in progress until the call's time is over, and unknown after that.
-    fn held_error(&self, made_at: u64) -> Error {
+    /// The error for a key that is claimed by an earlier call without a stored answer.
+    ///
+    /// The earlier call is taken to be in progress until its timeout has passed; after that its outcome is unknown.
+    fn pending_claim_error(&self, made_at: u64) -> Error {
         let age = self.context.timer.unix_secs().saturating_sub(made_at);
-        let limit = self.call.settings.timeout.as_secs() + 1;
-        if age <= limit {
+        let max_age = self.call.settings.timeout.as_secs() + 1;
+        if age <= max_age {
             let message = "a call with this idempotency key is being worked on; ask again for its answer";
             return Error::new(ErrorKind::KeyInProgress, message)
                 .param("Idempotency-Key")
                 .retry_after(Duration::from_secs(1));
         }
-        unknown("a call with this idempotency key was taken and no answer is known")
+        unknown_outcome("a call with this idempotency key was taken and no answer is known")
     }
 
     async fn run_guarded(&mut self) -> (CallOutcome, Result<Response>) {
-        self.lock_retries().earn();
+        self.lock_retry_budget().earn();
         let mut event = CallEvent::Started;
         loop {
             let now = self.context.timer.now();
             event = match self.guard.on(now, event) {
                 Some(CallAction::Assign { avoid, is_retry }) => self.assign(&avoid, is_retry),
                 Some(CallAction::Send { endpoint }) => self.send(endpoint).await,
-                Some(CallAction::Finish(outcome)) => return (outcome, self.conclude(outcome)),
+                Some(CallAction::Finish(outcome)) => return (outcome, self.final_response(outcome)),
                 None => CallEvent::DeadlinePassed,
             };
         }
     }
 
     fn assign(&self, avoid: &[EndpointId], is_retry: bool) -> CallEvent {
-        if is_retry && !self.lock_retries().try_spend() {
+        if is_retry && !self.lock_retry_budget().try_spend() {
             self.context.board.count("retry_refused");
             return CallEvent::RetryRefused;
         }
@@ -162,8 +164,8 @@
             Ok(_) if context.timer.now() >= self.deadline => CallEvent::DeadlinePassed,
             Ok(stream) => {
                 self.guard.on(context.timer.now(), CallEvent::Sending);
-                let limit = self.deadline - context.timer.now();
-                match client.exchange(stream, request, limit).await {
+                let timeout_left = self.deadline - context.timer.now();
+                match client.exchange(stream, request, timeout_left).await {
                     Ok(response) => {
                         self.response = Some(response);
                         CallEvent::Answered
@@ -184,13 +186,13 @@
 
     fn request(&self, origin: &str) -> Result<Request> {
         let head = &self.call.head;
-        let wrong = |error: &dyn std::fmt::Display| Error::new(ErrorKind::InvalidRequest, error.to_string());
-        let mut url = Url::parse(origin).map_err(|error| wrong(&error))?;
+        let invalid_request = |error: &dyn std::fmt::Display| Error::new(ErrorKind::InvalidRequest, error.to_string());
+        let mut url = Url::parse(origin).map_err(|error| invalid_request(&error))?;
         url.set_path(head.url().path());
         url.set_query(head.url().query());
         let mut request = Request::new(head.method(), url);
         for (name, values) in head {
-            if !HOP_FIELDS.contains(&name.as_str()) {
+            if !UNFORWARDED_HEADERS.contains(&name.as_str()) {
                 request.insert_header(name, values);
             }
         }
@@ -213,38 +215,38 @@
         bytes
     }
 
-    fn conclude(&mut self, outcome: CallOutcome) -> Result<Response> {
+    fn final_response(&mut self, outcome: CallOutcome) -> Result<Response> {
         let board = &self.context.board;
         match (outcome, self.response.take()) {
             (CallOutcome::Answered, Some(answer)) => {
                 board.count("call_answered");
-                Ok(clean(answer))
+                Ok(strip_unforwarded_headers(answer))
             }
             (CallOutcome::NotRun, _) => {
                 board.count("call_not_run");
                 let message = format!("the call was not run: no endpoint of `{}` takes calls now", self.call.service);
-                let span = RETRY_AFTER + RETRY_AFTER.mul_f64(rand::random());
-                Err(Error::new(ErrorKind::NotRun, message).retry_after(span))
+                let retry_after = RETRY_AFTER + RETRY_AFTER.mul_f64(rand::random());
+                Err(Error::new(ErrorKind::NotRun, message).retry_after(retry_after))
             }
             _ => {
                 board.count("call_unknown");
-                Err(unknown("the call was sent and no answer came"))
+                Err(unknown_outcome("the call was sent and no answer came"))
             }
         }
     }
 
-    fn lock_retries(&self) -> std::sync::MutexGuard<'_, hollyhook_core::RetryBudget> {
-        self.context.retries.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_retry_budget(&self) -> std::sync::MutexGuard<'_, hollyhook_core::RetryBudget> {
+        self.context.retry_budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn unknown(what: &str) -> Error {
-    Error::new(ErrorKind::OutcomeUnknown, format!("{what}: it may or may not have run, and is not sent again"))
+fn unknown_outcome(reason: &str) -> Error {
+    Error::new(ErrorKind::OutcomeUnknown, format!("{reason}: it may or may not have run, and is not sent again"))
 }
 
-/// The answer without the fields of the endpoint's connection.
-fn clean(mut response: Response) -> Response {
-    for name in HOP_FIELDS {
+/// Removes the header fields that are not forwarded to the caller.
+fn strip_unforwarded_headers(mut response: Response) -> Response {
+    for name in UNFORWARDED_HEADERS {
         response.remove_header(name);
     }
     response
--- a/crates/hollyhook_daemon/src/call/claim_service.rs
+++ b/crates/hollyhook_daemon/src/call/claim_service.rs
@@ -14,41 +14,42 @@
 
 use hollyhook_telemetry::MetricBoard;
 
-/// The kind of the platform's objects that hold claims.
-const KIND: &str = "claims";
-/// Objects that the keys are spread over; each takes one write at a time from each host.
-const SHARDS: u8 = 16;
-/// Orders that may wait for a shard.
-const QUEUE: usize = 1_024;
-/// The largest answer that is kept.
-const MAX_ANSWER: usize = 256;
-/// When to come back while the platform is down, before a spread of as much again.
+/// Kind of the platform objects that hold claims.
+const OBJECT_KIND: &str = "claims";
+/// Number of platform objects over which the keys are spread; each host has at most one write per object in flight.
+const SHARD_COUNT: u8 = 16;
+/// Commands that can be queued for a shard.
+const QUEUE_CAPACITY: usize = 1_024;
+/// Maximum size in bytes of an answer body that is stored for replay.
+const MAX_ANSWER_BYTES: usize = 256;
+/// `Retry-After` delay of refused calls. While the platform is down, a random delay of up to the same length is added.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// What a claim led to.
+/// Outcome of a claim on an idempotency key.
 #[derive(Debug)]
-pub(crate) enum ClaimGrant {
-    /// The call is this host's to send.
+pub(crate) enum ClaimOutcome {
+    /// This host holds the key and may send the call.
     Granted,
-    /// The call was answered before.
+    /// An earlier call with the key was answered; its stored answer is to be replayed.
     Answered(ClaimAnswer),
-    /// The call was taken by someone and not answered so far.
+    /// An earlier call with the key, from this host or another, holds the claim; no answer is stored.
     Held(ClaimRecord),
 }
 
 #[derive(Debug)]
-struct ShardOrder {
-    order: ClaimCommand,
-    reply: Option<Sender<Result<ClaimGrant>>>,
+struct ShardCommand {
+    command: ClaimCommand,
+    reply: Option<Sender<Result<ClaimOutcome>>>,
 }
 
-/// Claims idempotency keys in the platform, so that a key is recognised on every host.
+/// Claims idempotency keys in the platform, so that every host recognises a key that was used on another.
 ///
-/// Each shard of keys is one object. A host writes a shard once at a time, with all claims that came meanwhile in the
-/// one write (group commit), on the condition that nobody else has written it since.
+/// Each shard of the keys is stored in one platform object. A host has at most one write per shard in flight; claims
+/// that arrive during a write are batched into the next (group commit). Each write is conditional: it fails if another
+/// host has written the object since it was read.
 #[derive(Debug)]
 pub(crate) struct ClaimService {
-    shards: Vec<Sender<ShardOrder>>,
+    shards: Vec<Sender<ShardCommand>>,
     timer: TimerService,
 }
 
@@ -56,15 +57,15 @@
     /// The name that the service is registered under.
     pub(crate) const NAME: &'static str = "claims";
 
-    /// Starts one worker a shard; without a platform every claim is refused.
+    /// Starts one worker per shard; without a platform, every claim is refused.
     pub(crate) fn start(
         platform: Option<&PlatformClient>,
         board: &Arc<MetricBoard>,
         timer: &TimerService,
         key_age: Duration,
     ) -> Self {
-        let shards = (0..SHARDS).map(|shard| {
-            let (sender, orders) = async_channel::bounded(QUEUE);
+        let shards = (0..SHARD_COUNT).map(|shard| {
+            let (sender, commands) = async_channel::bounded(QUEUE_CAPACITY);
             let worker = ShardWorker {
                 platform: platform.cloned(),
                 board: Arc::clone(board),
@@ -72,9 +73,9 @@
                 name: format!("shard-{shard:02}"),
                 shard: ClaimShard::new(ClaimPolicy { key_age, ..ClaimPolicy::default() }),
                 replies: BTreeMap::new(),
-                wake_at: None,
+                timer_due: None,
             };
-            task::spawn(worker.run(orders));
+            task::spawn(worker.run(commands));
             sender
         });
         Self { shards: shards.collect(), timer: timer.clone() }
@@ -84,18 +85,18 @@
     ///
     /// # Errors
     ///
-    /// `KeyReused` if the key came with another request; `PlatformDown` or `Overloaded` if the claim could not be
-    /// made, with when to come back. In each case this host has not sent the call.
-    pub(crate) async fn claim(&self, record: ClaimRecord) -> Result<ClaimGrant> {
+    /// `KeyReused` if the key was used with another request; `PlatformDown` or `Overloaded`, with a retry delay, if the
+    /// claim could not be made. In each case this host has not sent the call.
+    pub(crate) async fn claim(&self, record: ClaimRecord) -> Result<ClaimOutcome> {
         let (sender, reply) = async_channel::bounded(1);
-        let shard = self.shard(&record);
-        let order = ShardOrder { order: ClaimCommand::Claim(record), reply: Some(sender) };
-        shard.try_send(order).map_err(|_full| busy("too many claims wait"))?;
-        reply.recv().await.map_err(|_closed| busy("the host is stopping"))?
+        let shard = self.shard_of(&record);
+        let command = ShardCommand { command: ClaimCommand::Claim(record), reply: Some(sender) };
+        shard.try_send(command).map_err(|_full| overloaded_error("too many claims wait"))?;
+        reply.recv().await.map_err(|_closed| overloaded_error("the host is stopping"))?
     }
 
-    /// The claim that a call would make on its key.
-    pub(crate) fn record(&self, account: &str, service: &str, key: &str, request: &[u8]) -> ClaimRecord {
+    /// Builds the claim of a call on its key.
+    pub(crate) fn new_record(&self, account: &str, service: &str, key: &str, request: &[u8]) -> ClaimRecord {
         ClaimRecord {
             key: hex_digest(&[account.as_bytes(), service.as_bytes(), key.as_bytes()]),
             request: hex_digest(&[request]),
@@ -105,55 +106,58 @@
         }
     }
 
-    /// Keeps the answer for a repeat of the call.
-    pub(crate) fn answer(&self, mut record: ClaimRecord, status: u16, content_type: &str, body: &[u8]) {
-        if body.len() > MAX_ANSWER {
+    /// Stores the answer for replay if the call is repeated; skips bodies that are too large or not UTF-8.
+    pub(crate) fn store_answer(&self, mut record: ClaimRecord, status: u16, content_type: &str, body: &[u8]) {
+        if body.len() > MAX_ANSWER_BYTES {
             return;
         }
         let Ok(body) = std::str::from_utf8(body) else {
             return;
         };
         record.answer = Some(ClaimAnswer { status, content_type: content_type.into(), body: body.into() });
-        let _dropped = self.shard(&record).try_send(ShardOrder { order: ClaimCommand::Answer(record), reply: None });
+        let _dropped =
+            self.shard_of(&record).try_send(ShardCommand { command: ClaimCommand::Answer(record), reply: None });
     }
 
-    /// Gives a key back whose call was certainly not sent.
+    /// Releases the key of a call that certainly was not sent.
     pub(crate) fn release(&self, record: ClaimRecord) {
-        let _dropped = self.shard(&record).try_send(ShardOrder { order: ClaimCommand::Release(record), reply: None });
+        let _dropped =
+            self.shard_of(&record).try_send(ShardCommand { command: ClaimCommand::Release(record), reply: None });
     }
 
-    fn shard(&self, record: &ClaimRecord) -> &Sender<ShardOrder> {
+    fn shard_of(&self, record: &ClaimRecord) -> &Sender<ShardCommand> {
         let first = record.key.bytes().next().unwrap_or_default();
         let digit = char::from(first).to_digit(16).unwrap_or_default();
         &self.shards[digit as usize % self.shards.len()]
     }
 }
 
-/// Drives one shard: carries its reads and writes to the platform and its verdicts to the callers.
+/// Drives one shard: performs its reads and writes of the platform and returns its verdicts to the waiting callers.
 struct ShardWorker {
     platform: Option<PlatformClient>,
     board: Arc<MetricBoard>,
     timer: TimerService,
     name: String,
     shard: ClaimShard,
-    replies: BTreeMap<Name, Sender<Result<ClaimGrant>>>,
-    wake_at: Option<TimePoint>,
+    replies: BTreeMap<Name, Sender<Result<ClaimOutcome>>>,
+    timer_due: Option<TimePoint>,
 }
 
 impl ShardWorker {
-    async fn run(mut self, orders: Receiver<ShardOrder>) {
+    async fn run(mut self, commands: Receiver<ShardCommand>) {
         loop {
-            let event = self.next_event(&orders).await;
+            let event = self.next_event(&commands).await;
             let Some(event) = event else {
                 return;
             };
             let mut events = VecDeque::from([event]);
             while let Some(event) = events.pop_front() {
-                let is_writing = self.handle(event, &mut events).await;
-                if is_writing {
-                    // What came during the write joins the next one.
-                    while let Ok(order) = orders.try_recv() {
-                        let event = self.ordered(order);
+                let has_called_platform = self.handle(event, &mut events).await;
+                if has_called_platform {
+                    // Commands that arrived during the read or write are handled before its result, so that they join
+                    // the next write.
+                    while let Ok(command) = commands.try_recv() {
+                        let event = self.submit(command);
                         events.push_front(event);
                     }
                 }
@@ -161,46 +165,46 @@
         }
     }
 
-    async fn next_event(&mut self, orders: &Receiver<ShardOrder>) -> Option<ClaimEvent> {
-        let order = match self.wake_at {
-            None => orders.recv().await,
+    async fn next_event(&mut self, commands: &Receiver<ShardCommand>) -> Option<ClaimEvent> {
+        let command = match self.timer_due {
+            None => commands.recv().await,
             Some(at) => {
-                let Some(order) = self.timer.within(at - self.timer.now(), orders.recv()).await else {
-                    self.wake_at = None;
+                let Some(command) = self.timer.within(at - self.timer.now(), commands.recv()).await else {
+                    self.timer_due = None;
                     return Some(ClaimEvent::TimerFired);
                 };
-                order
+                command
             }
         };
-        order.ok().map(|order| self.ordered(order))
+        command.ok().map(|command| self.submit(command))
     }
 
-    fn ordered(&mut self, order: ShardOrder) -> ClaimEvent {
-        if let (ClaimCommand::Claim(record), Some(reply)) = (&order.order, order.reply) {
+    fn submit(&mut self, command: ShardCommand) -> ClaimEvent {
+        if let (ClaimCommand::Claim(record), Some(reply)) = (&command.command, command.reply) {
             self.replies.insert(Name::clone(&record.claim), reply);
         }
-        ClaimEvent::Submitted(order.order)
+        ClaimEvent::Submitted(command.command)
     }
 
-    /// Returns whether it called the platform.
+    /// Performs the actions for one event and queues the platform's results; returns whether the platform was called.
     async fn handle(&mut self, event: ClaimEvent, events: &mut VecDeque<ClaimEvent>) -> bool {
-        let mut is_writing = false;
+        let mut has_called_platform = false;
         for action in self.shard.on(self.timer.unix_secs(), event) {
             match action {
                 ClaimAction::Put { ledger, version } => {
-                    is_writing = true;
+                    has_called_platform = true;
                     events.push_back(self.put(&ledger, version).await);
                 }
                 ClaimAction::Load => {
-                    is_writing = true;
+                    has_called_platform = true;
                     events.push_back(self.load().await);
                 }
-                ClaimAction::Resolve { claim, verdict } => self.reply(&claim, grant(verdict)),
-                ClaimAction::Refuse { claim, refusal } => self.reply(&claim, Err(self.refusal(refusal))),
-                ClaimAction::SetTimer { after } => self.wake_at = Some(self.timer.now() + after),
+                ClaimAction::Resolve { claim, verdict } => self.reply(&claim, claim_outcome(verdict)),
+                ClaimAction::Refuse { claim, refusal } => self.reply(&claim, Err(self.refusal_error(refusal))),
+                ClaimAction::SetTimer { after } => self.timer_due = Some(self.timer.now() + after),
             }
         }
-        is_writing
+        has_called_platform
     }
 
     async fn put(&self, ledger: &ClaimLedger, version: Option<u64>) -> ClaimEvent {
@@ -209,7 +213,7 @@
         };
         let condition =
             version.map_or(WriteCondition::Absent, |version| WriteCondition::Version(ObjectVersion(version)));
-        match platform.put(KIND, &self.name, condition, ledger).await {
+        match platform.put(OBJECT_KIND, &self.name, condition, ledger).await {
             Ok(ObjectVersion(version)) => ClaimEvent::Written { version },
             Err(PlatformError::Conflict) => {
                 self.board.count("claim_conflict");
@@ -224,7 +228,7 @@
         let Some(platform) = &self.platform else {
             return ClaimEvent::LoadFailed;
         };
-        match platform.get(KIND, &self.name).await {
+        match platform.get(OBJECT_KIND, &self.name).await {
             Ok(object) => match serde_json::from_value(object.value) {
                 Ok(ledger) => ClaimEvent::Loaded { ledger, version: Some(object.version.0) },
                 Err(_) => ClaimEvent::LoadFailed,
@@ -234,44 +238,44 @@
         }
     }
 
-    fn reply(&mut self, claim: &str, outcome: Result<ClaimGrant>) {
+    fn reply(&mut self, claim: &str, outcome: Result<ClaimOutcome>) {
         if let Some(reply) = self.replies.remove(claim) {
             let _gone = reply.try_send(outcome);
         }
     }
 
-    fn refusal(&self, refusal: ClaimRefusal) -> Error {
+    fn refusal_error(&self, refusal: ClaimRefusal) -> Error {
         self.board.count("claim_refused");
         match refusal {
-            ClaimRefusal::Unavailable => down("the platform is down"),
-            ClaimRefusal::Unanswered => down("the platform does not answer"),
-            ClaimRefusal::Contended => busy("too many hosts write claims at once"),
+            ClaimRefusal::Unavailable => platform_down_error("the platform is down"),
+            ClaimRefusal::Unanswered => platform_down_error("the platform does not answer"),
+            ClaimRefusal::Contended => overloaded_error("too many hosts write claims at once"),
         }
     }
 }
 
-fn grant(verdict: ClaimVerdict) -> Result<ClaimGrant> {
+fn claim_outcome(verdict: ClaimVerdict) -> Result<ClaimOutcome> {
     match verdict {
-        ClaimVerdict::Own => Ok(ClaimGrant::Granted),
+        ClaimVerdict::Own => Ok(ClaimOutcome::Granted),
         ClaimVerdict::Held(held) => Ok(match held.answer {
-            Some(answer) => ClaimGrant::Answered(answer),
-            None => ClaimGrant::Held(held),
+            Some(answer) => ClaimOutcome::Answered(answer),
+            None => ClaimOutcome::Held(held),
         }),
-        ClaimVerdict::Reused => Err(reused()),
-        ClaimVerdict::Free => Err(busy("too many claims are remembered")),
+        ClaimVerdict::Reused => Err(key_reused_error()),
+        ClaimVerdict::Free => Err(overloaded_error("too many claims are remembered")),
     }
 }
 
-fn down(why: &str) -> Error {
-    let message = format!("the call was not run: its key can't be checked against other hosts, since {why}");
+fn platform_down_error(reason: &str) -> Error {
+    let message = format!("the call was not run: its key can't be checked against other hosts, since {reason}");
     Error::new(ErrorKind::PlatformDown, message).retry_after(RETRY_AFTER + RETRY_AFTER.mul_f64(rand::random()))
 }
 
-fn busy(why: &str) -> Error {
-    Error::new(ErrorKind::Overloaded, format!("the call was not run: {why}")).retry_after(RETRY_AFTER)
+fn overloaded_error(reason: &str) -> Error {
+    Error::new(ErrorKind::Overloaded, format!("the call was not run: {reason}")).retry_after(RETRY_AFTER)
 }
 
-fn reused() -> Error {
+fn key_reused_error() -> Error {
     let message = "this idempotency key came with another request; give each request its own";
     Error::new(ErrorKind::KeyReused, message).param("Idempotency-Key")
 }
--- a/crates/hollyhook_daemon/src/call/mod.rs
+++ b/crates/hollyhook_daemon/src/call/mod.rs
@@ -1,4 +1,5 @@
-//! Plain calls: sent at most once where they may not be repeated, retried within a budget where they may.
+//! Calls to plain services. A call that is not repeatable is sent at most once; a call that is repeatable, or was not
+//! sent, is retried within a budget.
 
 mod call_driver;
 mod claim_service;
--- a/crates/hollyhook_daemon/src/daemon/assembly.rs
+++ b/crates/hollyhook_daemon/src/daemon/assembly.rs
@@ -14,17 +14,17 @@
 
 use super::status::{host_report, status_report};
 use crate::call::ClaimService;
-use crate::fleet::{CancelOrder, FleetTable, HostContext, ProbeService, ResumeService, run_cancels, run_load_polls};
-use crate::front::{FrontState, serve_front};
+use crate::fleet::{CancelCommand, FleetTable, HostContext, ProbeService, ResumeService, run_cancels, run_load_polls};
+use crate::front::{FrontState, serve_callers};
 use crate::relay::TraceStore;
 use hollyhook_telemetry::MetricBoard;
 
-/// How long a connection to an endpoint may take.
+/// Timeout for connecting to an engine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Retries that the budget saves up.
+/// Initial and maximum balance of the retry budget, in retries.
 const RETRY_RESERVE: f64 = 20.0;
 
-/// A running daemon.
+/// A running daemon of an entry host.
 #[derive(Debug)]
 pub struct Daemon {
     address: SocketAddr,
@@ -35,62 +35,62 @@
 }
 
 impl Daemon {
-    /// Starts a daemon; it serves when this returns.
+    /// Starts a daemon; its listeners accept connections when this returns.
     ///
     /// # Errors
     ///
-    /// `InvalidSetting` if an address can't be listened at or sent to.
+    /// `InvalidSetting` if a listen address can't be bound or metrics can't be sent to the statsd address.
     pub async fn start(settings: ProcessSettings, site: SiteSettings) -> Result<Self> {
         let server = HttpServer::bind(settings.listen, server_limits(&site.limits))?;
-        let peers = TcpListener::bind(settings.peer_listen).await.map_err(|error| {
+        let peer_listener = TcpListener::bind(settings.peer_listen).await.map_err(|error| {
             let message = format!("can't listen at {}: {error}", settings.peer_listen);
             Error::new(ErrorKind::InvalidSetting, message).param("peer_listen")
         })?;
         let address = server.address();
-        let peer_address = peers.local_addr().unwrap_or(settings.peer_listen);
+        let peer_address = peer_listener.local_addr().unwrap_or(settings.peer_listen);
         let gate = server.gate();
 
-        let (mailbox, orders) = Mailbox::bounded(CancelOrder::SERVICE, CancelOrder::CAPACITY);
-        let registry = register(&settings, site, mailbox)?;
+        let (cancels, cancel_commands) = Mailbox::bounded(CancelCommand::MAILBOX, CancelCommand::CAPACITY);
+        let registry = register_services(&settings, site, cancels)?;
         let engine = EngineClient::new(CONNECT_TIMEOUT);
         let context = Arc::new(HostContext::find(&registry, &settings, engine)?);
         let mut daemon =
             Self { address, peer_address, gate: gate.clone(), context: Arc::clone(&context), tasks: Vec::new() };
-        daemon.spawn(run_cancels(Arc::clone(&context), orders));
+        daemon.spawn(run_cancels(Arc::clone(&context), cancel_commands));
         daemon.spawn(run_load_polls(Arc::clone(&context)));
-        daemon.spawn(run_flushes(Arc::clone(&context)));
-        daemon.spawn(serve_peers(peers, daemon.peer_server()));
+        daemon.spawn(flush_metrics(Arc::clone(&context)));
+        daemon.spawn(serve_peers(peer_listener, daemon.peer_server()));
         let state = FrontState { context: Arc::clone(&context), gate };
-        task::spawn(serve_front(server, state));
+        task::spawn(serve_callers(server, state));
         tracing::info!(host = %context.host, zone = %context.zone, address = %address, peers = %peer_address,
             config = %context.site.digest, "daemon.started");
         Ok(daemon)
     }
 
-    /// Where it serves callers.
+    /// The address at which the daemon serves callers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where it serves other daemons and the operator's command.
+    /// The address at which the daemon serves other daemons and the operator's command.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer_address
     }
 
-    /// What it shows an operator.
+    /// The status that the operator's command shows.
     pub fn status(&self) -> StatusReport {
         status_report(&self.context, &self.gate)
     }
 
-    /// Stops taking requests, waits until those that have begun have ended, and stops.
+    /// Stops accepting requests, waits for the requests in progress, and stops the daemon.
     ///
-    /// Returns whether all ended within the drain timeout.
+    /// Returns whether all requests ended within the drain timeout; those that did not are no longer waited for.
     pub async fn drain(self) -> bool {
-        let begun = self.gate.requests();
-        tracing::info!(host = %self.context.host, requests = begun, "daemon.draining");
+        let in_progress = self.gate.requests();
+        tracing::info!(host = %self.context.host, requests = in_progress, "daemon.draining");
         self.gate.drain();
-        let limit = self.context.site.limits.drain_timeout;
-        let is_idle = self.context.timer.within(limit, self.gate.idle()).await.is_some();
+        let timeout = self.context.site.limits.drain_timeout;
+        let is_idle = self.context.timer.within(timeout, self.gate.idle()).await.is_some();
         tracing::info!(host = %self.context.host, is_idle, "daemon.stopped");
         is_idle
     }
@@ -104,10 +104,10 @@
             .trace(move |generation| traces.find(generation))
     }
 
-    fn spawn(&mut self, work: impl Future<Output = ()> + Send + 'static) {
-        let (work, handle) = abortable(work);
+    fn spawn(&mut self, future: impl Future<Output = ()> + Send + 'static) {
+        let (task, handle) = abortable(future);
         self.tasks.push(handle);
-        task::spawn(work);
+        task::spawn(task);
     }
 }
 
@@ -118,8 +118,12 @@
     }
 }
 
-/// Registers the services that the parts of a daemon find by name.
-fn register(settings: &ProcessSettings, site: SiteSettings, cancels: Mailbox<CancelOrder>) -> Result<ServiceRegistry> {
+/// Registers the services that the daemon's components look up by name.
+fn register_services(
+    settings: &ProcessSettings,
+    site: SiteSettings,
+    cancels: Mailbox<CancelCommand>,
+) -> Result<ServiceRegistry> {
     let registry = ServiceRegistry::default();
     let limits = site.limits.clone();
     let site = registry.register(HostContext::SITE, site)?;
@@ -135,18 +139,18 @@
         seal = seal.previous_key(previous);
     }
     registry.register(HostContext::SEAL, seal)?;
-    registry.register(CancelOrder::SERVICE, cancels)?;
+    registry.register(CancelCommand::MAILBOX, cancels)?;
     registry.register(ResumeService::NAME, ResumeService::new(limits.resumes))?;
     registry.register(TraceStore::NAME, TraceStore::default())?;
     registry.register(ProbeService::NAME, ProbeService::new())?;
-    registry.register(HostContext::RETRIES, Mutex::new(RetryBudget::new(limits.retry_share, RETRY_RESERVE)))?;
+    registry.register(HostContext::RETRY_BUDGET, Mutex::new(RetryBudget::new(limits.retry_share, RETRY_RESERVE)))?;
     let platform = settings.platform.map(PlatformClient::new);
     registry.register(ClaimService::NAME, ClaimService::start(platform.as_ref(), &board, &timer, limits.key_age))?;
     Ok(registry)
 }
 
-/// Keeps metrics no older than a second.
-async fn run_flushes(context: Arc<HostContext>) {
+/// Flushes buffered metrics to statsd once a second.
+async fn flush_metrics(context: Arc<HostContext>) {
     const INTERVAL: Duration = Duration::from_secs(1);
     loop {
         context.timer.wait(INTERVAL).await;
--- a/crates/hollyhook_daemon/src/daemon/mod.rs
+++ b/crates/hollyhook_daemon/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! Putting the services of a daemon together.
+//! Assembles the services of a daemon, starts and drains it, and reports its status.
 
 mod assembly;
 mod status;
--- a/crates/hollyhook_daemon/src/daemon/status.rs
+++ b/crates/hollyhook_daemon/src/daemon/status.rs
@@ -6,10 +6,10 @@
 use crate::fleet::HostContext;
 use hollyhook_telemetry::ProcessUsage;
 
-/// The version of a configuration that comes from files; the platform's begin at 1.
+/// Version of a configuration that is read from files; versions assigned by the platform start at 1.
 const FILE_VERSION: u64 = 0;
 
-/// What a daemon says of itself to others.
+/// The report that a daemon sends to other daemons.
 pub(super) fn host_report(context: &Arc<HostContext>, gate: &ConnectionGate) -> HostReport {
     HostReport {
         host: Name::clone(&context.host),
@@ -21,7 +21,7 @@
     }
 }
 
-/// What a daemon shows an operator.
+/// The status that a daemon reports to the operator's command.
 pub(super) fn status_report(context: &Arc<HostContext>, gate: &ConnectionGate) -> StatusReport {
     let usage = ProcessUsage::read();
     let now = context.timer.now();
--- a/crates/hollyhook_daemon/src/fleet/fleet_table.rs
+++ b/crates/hollyhook_daemon/src/fleet/fleet_table.rs
@@ -7,7 +7,7 @@
 };
 use hollyhook_settings::{EndpointSettings, ServiceKind, ServiceSettings, SiteSettings};
 
-/// The endpoint table behind a lock that is only held for one step.
+/// The endpoint table behind a lock that is never held across an await.
 #[derive(Debug)]
 pub(crate) struct FleetTable {
     table: Mutex<EndpointTable>,
@@ -17,7 +17,7 @@
     /// The name that the service is registered under.
     pub(crate) const NAME: &'static str = "endpoints";
 
-    /// A table of the endpoints that the host keeps to.
+    /// Creates a table of the endpoints in the host's subset of each service.
     pub(crate) fn new(host: &str, zone: &ZoneName, site: &SiteSettings) -> Self {
         let mut table = EndpointTable::new(ZoneName::clone(zone));
         for service in &site.services {
@@ -25,7 +25,7 @@
             let fleet = of_service().map(|endpoint| (EndpointId::clone(&endpoint.id), ZoneName::clone(&endpoint.zone)));
             let subset: BTreeSet<EndpointId> = EndpointSubset::new(host, zone).choose(fleet).into_iter().collect();
             for endpoint in of_service().filter(|endpoint| subset.contains(&endpoint.id)) {
-                table.upsert(record(endpoint, service));
+                table.upsert(endpoint_record(endpoint, service));
             }
         }
         Self { table: Mutex::new(table) }
@@ -39,6 +39,7 @@
         self.lock().get(id).map(|record| record.address)
     }
 
+    /// The current timeouts for silent streams of an endpoint; defaults if the endpoint is `None` or unknown.
     pub(crate) fn stream_timeouts(&self, id: Option<&EndpointId>, policy: &RelayPolicy) -> StreamTimeouts {
         let table = self.lock();
         let record = id.and_then(|id| table.get(id));
@@ -49,7 +50,7 @@
     }
 }
 
-fn record(endpoint: &EndpointSettings, service: &ServiceSettings) -> EndpointRecord {
+fn endpoint_record(endpoint: &EndpointSettings, service: &ServiceSettings) -> EndpointRecord {
     let id = EndpointId::clone(&endpoint.id);
     let record = EndpointRecord::new(id, Name::clone(&service.name), ZoneName::clone(&endpoint.zone), endpoint.address);
     match &service.kind {
--- a/crates/hollyhook_daemon/src/fleet/host_context.rs
+++ b/crates/hollyhook_daemon/src/fleet/host_context.rs
@@ -5,12 +5,12 @@
 use hollyhook_settings::{ProcessSettings, SiteSettings};
 use hollyhook_wire::EngineClient;
 
-use super::{CancelOrder, FleetTable, ProbeService, ResumeService};
+use super::{CancelCommand, FleetTable, ProbeService, ResumeService};
 use crate::call::ClaimService;
 use crate::relay::TraceStore;
 use hollyhook_telemetry::MetricBoard;
 
-/// The services that a request needs, found by name once.
+/// The services that requests use, looked up by name once at start-up.
 #[derive(Debug)]
 pub(crate) struct HostContext {
     pub(crate) host: Name,
@@ -20,10 +20,10 @@
     pub(crate) board: Arc<MetricBoard>,
     pub(crate) fleet: Arc<FleetTable>,
     pub(crate) seal: Arc<CursorSeal>,
-    pub(crate) cancels: Arc<Mailbox<CancelOrder>>,
+    pub(crate) cancels: Arc<Mailbox<CancelCommand>>,
     pub(crate) resumes: Arc<ResumeService>,
     pub(crate) probes: Arc<ProbeService>,
-    pub(crate) retries: Arc<Mutex<RetryBudget>>,
+    pub(crate) retry_budget: Arc<Mutex<RetryBudget>>,
     pub(crate) claims: Arc<ClaimService>,
     pub(crate) traces: Arc<TraceStore>,
     pub(crate) keeps_traces: bool,
@@ -31,11 +31,11 @@
 }
 
 impl HostContext {
-    /// The name of the cursor seal's service.
+    /// The name that the cursor seal is registered under.
     pub(crate) const SEAL: &'static str = "cursors";
-    /// The name of the retry budget's service.
-    pub(crate) const RETRIES: &'static str = "retries";
-    /// The name of the site's settings.
+    /// The name that the retry budget is registered under.
+    pub(crate) const RETRY_BUDGET: &'static str = "retries";
+    /// The name that the site's settings are registered under.
     pub(crate) const SITE: &'static str = "site";
 
     pub(crate) fn find(registry: &ServiceRegistry, settings: &ProcessSettings, engine: EngineClient) -> Result<Self> {
@@ -47,10 +47,10 @@
             board: registry.find(MetricBoard::NAME)?,
             fleet: registry.find(FleetTable::NAME)?,
             seal: registry.find(Self::SEAL)?,
-            cancels: registry.find(CancelOrder::SERVICE)?,
+            cancels: registry.find(CancelCommand::MAILBOX)?,
             resumes: registry.find(ResumeService::NAME)?,
             probes: registry.find(ProbeService::NAME)?,
-            retries: registry.find(Self::RETRIES)?,
+            retry_budget: registry.find(Self::RETRY_BUDGET)?,
             claims: registry.find(ClaimService::NAME)?,
             traces: registry.find(TraceStore::NAME)?,
             keeps_traces: settings.keeps_traces,
--- a/crates/hollyhook_daemon/src/fleet/load_poller.rs
+++ b/crates/hollyhook_daemon/src/fleet/load_poller.rs
@@ -8,53 +8,60 @@
 
 use super::HostContext;
 
-const INTERVAL: Duration = Duration::from_millis(500);
+/// Pause between two rounds of polls.
+const ROUND_PAUSE: Duration = Duration::from_millis(500);
 const TIMEOUT: Duration = Duration::from_millis(400);
-/// Polls of one interval, all under way at a time. Twenty a second keep a host's control traffic under 8 KB a second
-/// however large its subset; what it hears with its own streams comes on top and costs nothing.
-const POLLS: usize = 10;
+/// Polls in one round, sent concurrently. At most twenty polls a second keep a host's control traffic below 8 KB a
+/// second, however large its subset is; load reports in the responses to its own streams need no extra requests.
+const POLLS_PER_ROUND: usize = 10;
 
-/// Asks the engines for their load in turn, and learns by their own word when one is leaving.
+/// Polls the engines for their load in turn, which also detects engines that report that they are leaving.
 pub(crate) async fn run_load_polls(context: Arc<HostContext>) {
-    let mut last: Option<EndpointId> = None;
+    let mut last_polled: Option<EndpointId> = None;
     loop {
-        let targets = next_targets(&context, last.as_ref());
-        last = targets.last().map(|(id, _)| EndpointId::clone(id)).or(last);
+        let targets = next_targets(&context, last_polled.as_ref());
+        last_polled = targets.last().map(|(id, _)| EndpointId::clone(id)).or(last_polled);
         let polls = targets.iter().map(|(id, address)| poll(&context, id, *address));
         join_all(polls).await;
-        context.timer.wait(INTERVAL).await;
+        context.timer.wait(ROUND_PAUSE).await;
     }
 }
 
-/// The engines behind the one polled last, around the table.
-fn next_targets(context: &HostContext, last: Option<&EndpointId>) -> Vec<(EndpointId, SocketAddr)> {
+/// The engines to poll next: in the order of their ids, after the last one polled, wrapping around at the end.
+fn next_targets(context: &HostContext, last_polled: Option<&EndpointId>) -> Vec<(EndpointId, SocketAddr)> {
     let table = context.fleet.lock();
     let engines = || table.iter().filter(|record| record.binding.is_some());
-    let behind = engines().filter(|record| last.is_none_or(|last| record.id > *last));
-    let around = engines().filter(|record| last.is_some_and(|last| record.id <= *last));
-    behind.chain(around).take(POLLS).map(|record| (EndpointId::clone(&record.id), record.address)).collect()
+    let following = engines().filter(|record| last_polled.is_none_or(|last_polled| record.id > *last_polled));
+    let wrapped = engines().filter(|record| last_polled.is_some_and(|last_polled| record.id <= *last_polled));
+    following
+        .chain(wrapped)
+        .take(POLLS_PER_ROUND)
+        .map(|record| (EndpointId::clone(&record.id), record.address))
+        .collect()
 }
 
 async fn poll(context: &HostContext, id: &EndpointId, address: SocketAddr) {
-    let Ok(answer) = context.engine.load(address, TIMEOUT).await else {
+    let Ok(report) = context.engine.load(address, TIMEOUT).await else {
         context.board.count("load_poll_failed");
         context.fleet.lock().record_failure(context.timer.now(), id);
         return;
     };
-    take_report(context, id, &answer);
+    apply_load_report(context, id, &report);
 }
 
-/// Takes an engine's word on itself in, from a poll or with a stream.
-pub(crate) fn take_report(context: &HostContext, id: &EndpointId, answer: &EngineLoad) {
+/// Applies an engine's load report, received from a poll or with the response that opened a stream.
+///
+/// An engine that serves another model binding than the configured one is marked as leaving.
+pub(crate) fn apply_load_report(context: &HostContext, id: &EndpointId, report: &EngineLoad) {
     let mut table = context.fleet.lock();
-    table.update_load(id, answer.load);
+    table.update_load(id, report.load);
     let Some(record) = table.get_mut(id) else {
         return;
     };
-    let is_bound = record.binding.as_ref() == Some(&answer.binding);
-    let state = if is_bound { answer.state } else { EndpointState::Leaving };
+    let has_configured_binding = record.binding.as_ref() == Some(&report.binding);
+    let state = if has_configured_binding { report.state } else { EndpointState::Leaving };
     if record.state != state {
-        tracing::info!(endpoint = %id, state = ?state, serves = %answer.binding, "endpoint.state");
+        tracing::info!(endpoint = %id, state = ?state, serves = %report.binding, "endpoint.state");
         record.state = state;
     }
 }
--- a/crates/hollyhook_daemon/src/fleet/mod.rs
+++ b/crates/hollyhook_daemon/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! What a host knows of the endpoints, and what it shares between its requests.
+//! The endpoint table and the services that all requests of a host share, such as probes, resumes and cancellations.
 
 mod cancel_service;
 mod fleet_table;
@@ -7,9 +7,9 @@
 mod probe_service;
 mod resume_service;
 
-pub(crate) use cancel_service::{CancelOrder, run_cancels};
+pub(crate) use cancel_service::{CancelCommand, run_cancels};
 pub(crate) use fleet_table::FleetTable;
 pub(crate) use host_context::HostContext;
-pub(crate) use load_poller::{run_load_polls, take_report};
+pub(crate) use load_poller::{apply_load_report, run_load_polls};
 pub(crate) use probe_service::ProbeService;
-pub(crate) use resume_service::{ResumePass, ResumeService};
+pub(crate) use resume_service::{ResumePermit, ResumeService};
--- a/crates/hollyhook_daemon/src/fleet/probe_service.rs
+++ b/crates/hollyhook_daemon/src/fleet/probe_service.rs
@@ -7,10 +7,10 @@
 
 use super::HostContext;
 
-/// Probes to one endpoint at a time.
-const LIMIT: usize = 32;
+/// Maximum number of concurrent probes to one endpoint.
+const MAX_PROBES_PER_ENDPOINT: usize = 32;
 
-/// Asks endpoints what they hold, under the bounds of the gate.
+/// Probes endpoints for the state of a generation, within the limits of a [`ProbeGate`].
 #[derive(Debug, Clone)]
 pub(crate) struct ProbeService {
     state: Arc<Mutex<ProbeState>>,
@@ -19,14 +19,15 @@
 #[derive(Debug)]
 struct ProbeState {
     gate: ProbeGate,
-    waiters: BTreeMap<u64, Sender<ProbeTurn>>,
-    last: u64,
+    waiters: BTreeMap<u64, Sender<QueueOutcome>>,
+    last_number: u64,
 }
 
+/// How the wait for admission of a probe ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ProbeTurn {
-    Go,
-    Dead,
+enum QueueOutcome {
+    Admitted,
+    FoundDead,
 }
 
 impl ProbeService {
@@ -34,25 +35,28 @@
     pub(crate) const NAME: &'static str = "probes";
 
     pub(crate) fn new() -> Self {
-        let state = ProbeState { gate: ProbeGate::new(LIMIT), waiters: BTreeMap::new(), last: 0 };
+        let state =
+            ProbeState { gate: ProbeGate::new(MAX_PROBES_PER_ENDPOINT), waiters: BTreeMap::new(), last_number: 0 };
         Self { state: Arc::new(Mutex::new(state)) }
     }
 
-    /// What the endpoint holds of a generation, asked for up to `limit` once it is this probe's turn.
+    /// Queries an endpoint for the state of a generation; `timeout` starts when the probe is admitted.
+    ///
+    /// Returns `Dead` without sending the probe if another probe finds the endpoint dead while this one is queued.
     pub(crate) async fn probe(
         &self,
         context: &HostContext,
         endpoint: &EndpointId,
         generation: GenerationId,
-        limit: Duration,
+        timeout: Duration,
     ) -> ProbeReport {
-        if self.turn(endpoint).await == ProbeTurn::Dead {
+        if self.wait_for_admission(endpoint).await == QueueOutcome::FoundDead {
             context.board.count("probe_shared");
             return ProbeReport::Dead;
         }
         context.board.count("probe_sent");
         let report = match context.fleet.address(endpoint) {
-            Some(address) => context.engine.probe(address, generation, limit).await,
+            Some(address) => context.engine.probe(address, generation, timeout).await,
             None => ProbeReport::Dead,
         };
         if report == ProbeReport::Dead {
@@ -62,29 +66,29 @@
         report
     }
 
-    async fn turn(&self, endpoint: &EndpointId) -> ProbeTurn {
-        let wait = {
+    async fn wait_for_admission(&self, endpoint: &EndpointId) -> QueueOutcome {
+        let outcome = {
             let mut state = self.lock();
-            state.last += 1;
-            let probe = state.last;
+            state.last_number += 1;
+            let probe = state.last_number;
             if state.gate.enter(endpoint, probe) == ProbeAdmission::Admitted {
-                return ProbeTurn::Go;
+                return QueueOutcome::Admitted;
             }
-            let (sender, wait) = async_channel::bounded(1);
+            let (sender, receiver) = async_channel::bounded(1);
             state.waiters.insert(probe, sender);
-            wait
+            receiver
         };
-        wait.recv().await.unwrap_or(ProbeTurn::Dead)
+        outcome.recv().await.unwrap_or(QueueOutcome::FoundDead)
     }
 
     fn release(&self, endpoint: &EndpointId, is_dead: bool) {
         let mut state = self.lock();
         let release = state.gate.leave(endpoint, is_dead);
-        let opened = release.admitted.into_iter().map(|probe| (probe, ProbeTurn::Go));
-        let answered = release.found_dead.into_iter().map(|probe| (probe, ProbeTurn::Dead));
-        for (probe, turn) in opened.chain(answered).collect::<Vec<_>>() {
+        let admitted_probes = release.admitted.into_iter().map(|probe| (probe, QueueOutcome::Admitted));
+        let dead_probes = release.found_dead.into_iter().map(|probe| (probe, QueueOutcome::FoundDead));
+        for (probe, outcome) in admitted_probes.chain(dead_probes).collect::<Vec<_>>() {
             if let Some(sender) = state.waiters.remove(&probe) {
-                let _gone = sender.try_send(turn);
+                let _gone = sender.try_send(outcome);
             }
         }
     }
--- a/crates/hollyhook_daemon/src/fleet/resume_service.rs
+++ b/crates/hollyhook_daemon/src/fleet/resume_service.rs
@@ -4,7 +4,7 @@
 use async_channel::Sender;
 use hollyhook_core::{ResumeGate, ResumeTicket};
 
-/// The gate for resumes, with the requests that wait at it.
+/// Limits concurrent resumes by a [`ResumeGate`] and wakes the queued requests as they are admitted.
 #[derive(Debug, Clone)]
 pub(crate) struct ResumeService {
     state: Arc<Mutex<GateState>>,
@@ -25,25 +25,25 @@
         Self { state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Waits for a place; the more urgent go first.
-    pub(crate) async fn enter(&self, urgency: u8) -> ResumePass {
-        let (pass, wait) = {
+    /// Waits until a resume is admitted; resumes with a lower urgency number are admitted first.
+    pub(crate) async fn acquire(&self, urgency: u8) -> ResumePermit {
+        let (permit, admission) = {
             let mut state = self.lock();
             let ticket = state.gate.enter(urgency);
-            let pass = ResumePass { service: self.clone(), ticket };
+            let permit = ResumePermit { service: self.clone(), ticket };
             if state.gate.is_admitted(ticket) {
-                (pass, None)
+                (permit, None)
             } else {
                 let (sender, receiver) = async_channel::bounded::<()>(1);
                 state.waiters.insert(ticket, sender);
-                (pass, Some(receiver))
+                (permit, Some(receiver))
             }
         };
-        if let Some(wait) = wait {
-            // The sender is dropped when the ticket opens.
-            let _opened = wait.recv().await;
+        if let Some(admission) = admission {
+            // The sender is dropped when the ticket is admitted.
+            let _closed = admission.recv().await;
         }
-        pass
+        permit
     }
 
     fn lock(&self) -> MutexGuard<'_, GateState> {
@@ -51,19 +51,19 @@
     }
 }
 
-/// A place at the gate, given back when dropped.
+/// An admitted or queued resume, which leaves the gate when dropped.
 #[derive(Debug)]
-pub(crate) struct ResumePass {
+pub(crate) struct ResumePermit {
     service: ResumeService,
     ticket: ResumeTicket,
 }
 
-impl Drop for ResumePass {
+impl Drop for ResumePermit {
     fn drop(&mut self) {
         let mut state = self.service.lock();
         state.waiters.remove(&self.ticket);
-        for opened in state.gate.leave(self.ticket) {
-            state.waiters.remove(&opened);
+        for admitted in state.gate.leave(self.ticket) {
+            state.waiters.remove(&admitted);
         }
     }
 }
--- a/crates/hollyhook_daemon/src/front/generate.rs
+++ b/crates/hollyhook_daemon/src/front/generate.rs
@@ -11,28 +11,29 @@
 use crate::fleet::HostContext;
 use crate::relay::{CallerLink, RelayDriver, RelayReply, RelayTask, resolve_start};
 
-/// Pieces that a stream may be ahead of its caller.
-const FEED_CAPACITY: usize = 8;
-/// The most characters of an idempotency key.
-const MAX_KEY: usize = 256;
+/// Body chunks that are buffered for a caller who reads more slowly than the stream is produced.
+const BODY_CHUNK_CAPACITY: usize = 8;
+/// Maximum length of an idempotency key, in characters.
+const MAX_KEY_LENGTH: usize = 256;
 
-/// Answers a request for a generation.
+/// Handles a request for a generation.
 pub(super) async fn handle(mut request: Request<FrontState>, style: ApiStyle) -> Result<Response> {
     let state = request.state().clone();
     let context = Arc::clone(&state.context);
-    let arrived = context.timer.now();
+    let arrived_at = context.timer.now();
     let account = state.account(&request)?;
     let bytes = read_body(request.take_body(), context.site.limits.body).await?;
     let caller = CallerRequest::parse(style, &bytes)?;
     let (service, settings) = find_service(&context, &caller)?;
     caller.check(RequestLimits { context: settings.context })?;
     let cursor = read_cursor(&context, &request, account, &caller)?;
-    let keyed = read_key(&request)?.map(|key| {
-        // The request is part of the identity, so that a key used twice never leads to another request's answer.
+    let keyed_generation = read_idempotency_key(&request)?.map(|key| {
+        // The id is derived from the request's digest as well as from the key, so that a key that is reused for another
+        // request never returns the answer to the first.
         let key = format!("{:016x}{key}", caller.digest());
         GenerationId::from_key(&account.name, &key)
     });
-    let start = resolve_start(&context, &service.name, settings, cursor, keyed).await;
+    let start = resolve_start(&context, &service.name, settings, cursor, keyed_generation).await;
     let generation = start.generation;
 
     let request = Arc::new(caller);
@@ -42,35 +43,35 @@
         service: Name::clone(&service.name),
         class: service.class,
         settings: settings.clone(),
-        arrived,
+        arrived_at,
     };
     let created = context.timer.unix_secs();
     let (reply_sender, reply) = async_channel::bounded(1);
     let (link, body) = if request.is_stream {
         let writer = StreamWriter::new(style, generation, &request.model, created);
-        let (feed, body) = feed_body(FEED_CAPACITY);
+        let (feed, body) = feed_body(BODY_CHUNK_CAPACITY);
         (CallerLink::streaming(reply_sender, feed, writer), Some(body))
     } else {
-        (CallerLink::whole(reply_sender), None)
+        (CallerLink::buffered(reply_sender), None)
     };
     task::spawn(RelayDriver::new(context, relay_task, start, link).run());
     let reply =
         reply.recv().await.map_err(|_gone| Error::new(ErrorKind::Internal, "the relay ended without a word"))?;
     let response = Response::builder(StatusCode::Ok).header("x-request-id", generation.to_string());
     match (reply, body) {
-        (RelayReply::Refused(error), _) => Err(error),
+        (RelayReply::Failed(error), _) => Err(error),
         (RelayReply::Streaming, Some(body)) => {
             Ok(response.body(body).content_type("text/event-stream").header("cache-control", "no-cache").build())
         }
-        (RelayReply::Whole(whole), _) => {
+        (RelayReply::Completed(result), _) => {
             let answer = WholeAnswer {
                 style,
                 generation,
                 model: &request.model,
                 created,
-                text: &whole.text,
-                reason: whole.reason,
-                usage: whole.usage,
+                text: &result.text,
+                reason: result.reason,
+                usage: result.usage,
             };
             Ok(response.body(answer.to_json()).content_type(tide::http::mime::JSON).build())
         }
@@ -118,12 +119,12 @@
 /// # Errors
 ///
 /// `InvalidRequest` if it is empty or too long.
-pub(super) fn read_key(request: &Request<FrontState>) -> Result<Option<String>> {
+pub(super) fn read_idempotency_key(request: &Request<FrontState>) -> Result<Option<String>> {
     let Some(key) = request.header("idempotency-key").map(|values| values.as_str()) else {
         return Ok(None);
     };
-    if key.is_empty() || key.len() > MAX_KEY {
-        let message = format!("the idempotency key must have 1 to {MAX_KEY} characters");
+    if key.is_empty() || key.len() > MAX_KEY_LENGTH {
+        let message = format!("the idempotency key must have 1 to {MAX_KEY_LENGTH} characters");
         return Err(Error::new(ErrorKind::InvalidRequest, message).param("Idempotency-Key"));
     }
     Ok(Some(key.to_owned()))
--- a/crates/hollyhook_daemon/src/front/mod.rs
+++ b/crates/hollyhook_daemon/src/front/mod.rs
@@ -1,7 +1,7 @@
-//! The callers' interface: the OpenAI-style API and the plain services.
+//! The HTTP interface for callers: the OpenAI-style API and the plain services.
 
 mod generate;
 mod plain;
 mod routes;
 
-pub(crate) use routes::{FrontState, serve_front};
+pub(crate) use routes::{FrontState, serve_callers};
--- a/crates/hollyhook_daemon/src/front/plain.rs
+++ b/crates/hollyhook_daemon/src/front/plain.rs
@@ -7,11 +7,11 @@
 use tide::{Request, Response};
 
 use super::FrontState;
-use super::generate::read_key;
+use super::generate::read_idempotency_key;
 use super::routes::API_PATHS;
 use crate::call::{CallDriver, PlainCall};
 
-/// Answers a call to a plain service, or one that leads nowhere.
+/// Handles a call to a plain service; refuses unknown paths, and wrong methods on paths of the API.
 pub(super) async fn handle(mut request: Request<FrontState>) -> Result<Response> {
     let state = request.state().clone();
     let context = Arc::clone(&state.context);
@@ -28,7 +28,7 @@
         return Err(Error::new(ErrorKind::Internal, "a path leads to a service of engines"));
     };
     let body = read_body(request.take_body(), context.site.limits.body).await?;
-    let key = read_key(&request)?;
+    let key = read_idempotency_key(&request)?;
     let call = PlainCall {
         account: Name::clone(&account.name),
         service: Name::clone(&service.name),
@@ -38,7 +38,8 @@
         head: request.into(),
         body,
     };
-    // A call that was sent is seen to its end, and its answer kept for a repeat, also when the caller hangs up.
+    // The call runs in a task of its own: even if the caller disconnects, the call completes and its answer can be stored
+    // for a repeat.
     let response = task::spawn(CallDriver::new(context, call).run()).await?;
     Ok(response.into())
 }
--- a/crates/hollyhook_daemon/src/front/routes.rs
+++ b/crates/hollyhook_daemon/src/front/routes.rs
@@ -10,10 +10,10 @@
 use super::{generate, plain};
 use crate::fleet::HostContext;
 
-/// The paths of the API, which plain services can't have.
+/// Paths of the API, which plain services can't use.
 pub(super) const API_PATHS: [&str; 4] = ["/v1/models", "/v1/completions", "/v1/chat/completions", "/-/health"];
 
-/// What every handler needs.
+/// State shared by all request handlers.
 #[derive(Debug, Clone)]
 pub(crate) struct FrontState {
     pub(crate) context: Arc<HostContext>,
@@ -21,11 +21,11 @@
 }
 
 impl FrontState {
-    /// The client account whose key came with a request.
+    /// The client account that a request's API key belongs to.
     ///
     /// # Errors
     ///
-    /// `MissingKey` or `UnknownKey`.
+    /// `MissingKey` without an `Authorization` header, `UnknownKey` if the header holds no known key.
     pub(super) fn account(&self, request: &Request<Self>) -> Result<&AccountSettings> {
         let header = request.header("authorization").map(|values| values.as_str());
         let Some(header) = header else {
@@ -44,16 +44,16 @@
     }
 }
 
-/// Serves callers until the gate drains.
-pub(crate) async fn serve_front(server: HttpServer, state: FrontState) {
+/// Serves callers until the connection gate drains.
+pub(crate) async fn serve_callers(server: HttpServer, state: FrontState) {
     let board = Arc::clone(&state.context.board);
     let mut app = tide::with_state(state);
-    app.at(ApiStyle::Completion.path()).post(|request| answer(generate::handle(request, ApiStyle::Completion)));
-    app.at(ApiStyle::Chat.path()).post(|request| answer(generate::handle(request, ApiStyle::Chat)));
-    app.at("/v1/models").get(|request| answer(async move { list_models(&request) }));
-    app.at("/-/health").get(|request| answer(async move { health(&request) }));
-    app.at("/").all(|request| answer(plain::handle(request)));
-    app.at("/*").all(|request| answer(plain::handle(request)));
+    app.at(ApiStyle::Completion.path()).post(|request| run_handler(generate::handle(request, ApiStyle::Completion)));
+    app.at(ApiStyle::Chat.path()).post(|request| run_handler(generate::handle(request, ApiStyle::Chat)));
+    app.at("/v1/models").get(|request| run_handler(async move { list_models(&request) }));
+    app.at("/-/health").get(|request| run_handler(async move { health(&request) }));
+    app.at("/").all(|request| run_handler(plain::handle(request)));
+    app.at("/*").all(|request| run_handler(plain::handle(request)));
     let handler = move |request: http_types::Request| {
         let app = app.clone();
         let board = Arc::clone(&board);
@@ -69,9 +69,9 @@
     server.run(handler).await;
 }
 
-/// Turns an error into its answer.
-async fn answer(work: impl Future<Output = Result<Response>>) -> tide::Result {
-    Ok(work.await.unwrap_or_else(|error| ApiErrorBody::response(&error).into()))
+/// Runs a handler and converts its error into an HTTP response.
+async fn run_handler(handler: impl Future<Output = Result<Response>>) -> tide::Result {
+    Ok(handler.await.unwrap_or_else(|error| ApiErrorBody::response(&error).into()))
 }
 
 fn list_models(request: &Request<FrontState>) -> Result<Response> {
--- a/crates/hollyhook_daemon/src/relay/attempt_link.rs
+++ b/crates/hollyhook_daemon/src/relay/attempt_link.rs
@@ -4,11 +4,11 @@
 use hollyhook_core::{AttemptNumber, EndpointId, EndpointRefusal, ErrorKind, OpenMode, RelayEvent, Result, TokenLog};
 use hollyhook_wire::{CallerRequest, EngineExtension, EngineStream, EngineUsage, StreamItem};
 
-use crate::fleet::{HostContext, take_report};
+use crate::fleet::{HostContext, apply_load_report};
 
-/// One attempt's connection; dropping it closes the connection and counts it as closed.
+/// The connection of one attempt; dropping the link closes the connection and records that in the endpoint table.
 ///
-/// The driver polls it itself: a task of its own would cost each token one more wake-up of a thread.
+/// The driver polls the link directly: with a separate task, each token would cost an additional thread wake-up.
 pub(super) struct AttemptLink {
     context: Arc<HostContext>,
     endpoint: EndpointId,
@@ -17,9 +17,9 @@
     usage: Option<EngineUsage>,
 }
 
-/// What opening an attempt needs.
+/// Parameters for opening an attempt.
 #[derive(Debug)]
-pub(super) struct AttemptOrder {
+pub(super) struct AttemptSpec {
     pub(super) request: Arc<CallerRequest>,
     pub(super) extension: EngineExtension,
     pub(super) mode: OpenMode,
@@ -41,68 +41,68 @@
 }
 
 impl AttemptLink {
-    /// Opens an attempt at an endpoint where the table counts it already.
-    pub(super) fn open(context: &Arc<HostContext>, endpoint: EndpointId, order: AttemptOrder) -> Self {
-        let attempt = order.extension.attempt;
-        let phase = LinkPhase::Opening(open(Arc::clone(context), EndpointId::clone(&endpoint), order).boxed());
+    /// Opens an attempt at an endpoint; the caller has already recorded the connection in the endpoint table.
+    pub(super) fn open(context: &Arc<HostContext>, endpoint: EndpointId, spec: AttemptSpec) -> Self {
+        let attempt = spec.extension.attempt;
+        let phase = LinkPhase::Opening(open(Arc::clone(context), EndpointId::clone(&endpoint), spec).boxed());
         Self { context: Arc::clone(context), endpoint, attempt, phase, usage: None }
     }
 
-    /// The usage that the endpoint gave with the end mark.
+    /// The usage that the endpoint reported with the end event, if any.
     pub(super) fn usage(&self) -> Option<EngineUsage> {
         self.usage
     }
 
-    /// An event that needs no waiting, if there is one.
+    /// The next event if it is available without waiting.
     pub(super) fn ready(&mut self) -> Option<RelayEvent> {
         let LinkPhase::Reading(stream) = &mut self.phase else {
             return None;
         };
         let item = stream.ready()?;
-        Some(self.event(item))
+        Some(self.stream_event(item))
     }
 
-    /// Waits for the next event; may be dropped and called again without losing one.
+    /// Waits for the next event; the future can be dropped and `next` called again without losing an event.
     pub(super) async fn next(&mut self) -> RelayEvent {
         match &mut self.phase {
             LinkPhase::Opening(opening) => {
                 let outcome = opening.await;
-                self.opened(outcome)
+                self.open_event(outcome)
             }
             LinkPhase::Reading(stream) => {
                 let item = stream.next().await;
-                self.event(item)
+                self.stream_event(item)
             }
             LinkPhase::Ended => pending().await,
         }
     }
 
-    fn opened(&mut self, outcome: OpenOutcome) -> RelayEvent {
+    fn open_event(&mut self, outcome: OpenOutcome) -> RelayEvent {
         let attempt = self.attempt;
         self.phase = LinkPhase::Ended;
         match outcome {
             Ok(Ok(stream)) => {
                 if let Some(load) = stream.load() {
-                    take_report(&self.context, &self.endpoint, &load);
+                    apply_load_report(&self.context, &self.endpoint, &load);
                 }
                 self.phase = LinkPhase::Reading(Box::new(stream));
                 RelayEvent::Opened { attempt }
             }
             Ok(Err(refusal)) => {
                 if refusal == EndpointRefusal::Busy {
-                    self.note_failure();
+                    self.record_failure();
                 }
                 RelayEvent::Refused { attempt, refusal }
             }
             Err(error) if error.kind() == ErrorKind::NotRun => {
-                self.note_failure();
+                self.record_failure();
                 RelayEvent::Unreachable { attempt }
             }
-            Err(_) => self.lost(),
+            Err(_) => self.loss_event(),
         }
     }
 
-    fn event(&mut self, item: Result<StreamItem>) -> RelayEvent {
+    fn stream_event(&mut self, item: Result<StreamItem>) -> RelayEvent {
         let attempt = self.attempt;
         match item {
             Ok(StreamItem::Token { position, text }) => RelayEvent::TokenArrived { attempt, position, text },
@@ -112,24 +112,24 @@
                 self.context.fleet.lock().record_success(&self.endpoint);
                 RelayEvent::EndArrived { attempt, position, reason }
             }
-            Err(_) => self.lost(),
+            Err(_) => self.loss_event(),
         }
     }
 
-    fn lost(&mut self) -> RelayEvent {
+    fn loss_event(&mut self) -> RelayEvent {
         self.phase = LinkPhase::Ended;
-        self.note_failure();
+        self.record_failure();
         RelayEvent::ConnectionLost { attempt: self.attempt }
     }
 
-    fn note_failure(&self) {
+    fn record_failure(&self) {
         self.context.fleet.lock().record_failure(self.context.timer.now(), &self.endpoint);
     }
 }
 
-async fn open(context: Arc<HostContext>, endpoint: EndpointId, order: AttemptOrder) -> OpenOutcome {
+async fn open(context: Arc<HostContext>, endpoint: EndpointId, spec: AttemptSpec) -> OpenOutcome {
     let Some(address) = context.fleet.address(&endpoint) else {
         return Ok(Err(EndpointRefusal::NotHeld));
     };
-    context.engine.open(address, &order.request, order.extension, order.mode, &order.log).await
+    context.engine.open(address, &spec.request, spec.extension, spec.mode, &spec.log).await
 }
--- a/crates/hollyhook_daemon/src/relay/caller_link.rs
+++ b/crates/hollyhook_daemon/src/relay/caller_link.rs
@@ -2,29 +2,29 @@
 use hollyhook_core::{EndReason, Error};
 use hollyhook_wire::{BodyFeed, EngineUsage, StreamWriter};
 
-/// Bytes that may be gathered before they are sent.
-const GATHER_BYTES: usize = 16 * 1_024;
+/// Size in bytes from which buffered output is flushed before the next event is handled.
+const FLUSH_THRESHOLD: usize = 16 * 1_024;
 
-/// The whole text of a request that does not stream.
+/// Result of a completed generation; the text is empty if it has been streamed.
 #[derive(Debug)]
-pub(crate) struct WholeText {
+pub(crate) struct GenerationResult {
     pub(crate) text: String,
     pub(crate) reason: EndReason,
     pub(crate) usage: EngineUsage,
 }
 
-/// What the handler of a request waits for.
+/// Reply of the relay to the handler of the caller's request.
 #[derive(Debug)]
 pub(crate) enum RelayReply {
-    /// The endpoint accepted; the stream follows.
+    /// An endpoint accepted the request; the response is streamed.
     Streaming,
-    /// The whole text.
-    Whole(WholeText),
-    /// The final refusal, before anything was sent.
-    Refused(Error),
+    /// The generation is complete; sent for requests that don't stream.
+    Completed(GenerationResult),
+    /// The generation failed before any part of the response was sent.
+    Failed(Error),
 }
 
-/// The way back to the caller.
+/// Sends a generation to its caller: as a stream of events, or as one reply when it is complete.
 #[derive(Debug)]
 pub(crate) struct CallerLink {
     reply: Sender<RelayReply>,
@@ -35,17 +35,17 @@
 struct StreamLink {
     feed: BodyFeed,
     writer: StreamWriter,
-    gathered: String,
-    has_begun: bool,
+    output: String,
+    has_started: bool,
 }
 
 impl CallerLink {
-    pub(crate) fn whole(reply: Sender<RelayReply>) -> Self {
+    pub(crate) fn buffered(reply: Sender<RelayReply>) -> Self {
         Self { reply, stream: None }
     }
 
     pub(crate) fn streaming(reply: Sender<RelayReply>, feed: BodyFeed, writer: StreamWriter) -> Self {
-        let stream = StreamLink { feed, writer, gathered: String::new(), has_begun: false };
+        let stream = StreamLink { feed, writer, output: String::new(), has_started: false };
         Self { reply, stream: Some(stream) }
     }
 
@@ -53,7 +53,7 @@
         self.stream.is_some()
     }
 
-    /// Ends when the caller is gone.
+    /// Completes when the caller has disconnected.
     pub(crate) fn closed(&self) -> impl Future<Output = ()> + Send + 'static {
         let reply = self.reply.clone();
         let feed = self.stream.as_ref().map(|stream| stream.feed.clone());
@@ -65,62 +65,66 @@
         }
     }
 
-    /// Lets the answer begin, once.
-    pub(crate) fn begin(&mut self, is_continued: bool) {
+    /// Starts a streamed response; later calls have no effect.
+    ///
+    /// A continued stream omits the opening role event, which the caller already has.
+    pub(crate) fn start_stream(&mut self, is_continued: bool) {
         let Some(stream) = &mut self.stream else {
             return;
         };
-        if stream.has_begun {
+        if stream.has_started {
             return;
         }
-        stream.has_begun = true;
+        stream.has_started = true;
         if !is_continued {
-            stream.gathered.extend(stream.writer.role());
+            stream.output.extend(stream.writer.role());
         }
         let _gone = self.reply.try_send(RelayReply::Streaming);
     }
 
-    /// Adds a token to what is sent next; returns whether it should be sent now.
+    /// Adds a token to the buffered output; returns whether the output should be flushed now.
     pub(crate) fn token(&mut self, text: &str, cursor: &str) -> bool {
         let Some(stream) = &mut self.stream else {
             return false;
         };
-        stream.gathered.push_str(&stream.writer.token(text, cursor));
-        stream.gathered.len() >= GATHER_BYTES
+        stream.output.push_str(&stream.writer.token(text, cursor));
+        stream.output.len() >= FLUSH_THRESHOLD
     }
 
-    /// Sends what was gathered; returns whether the caller is still there.
+    /// Sends the buffered output; returns whether the caller is still connected.
     pub(crate) async fn flush(&mut self) -> bool {
         match &mut self.stream {
-            Some(stream) if !stream.gathered.is_empty() => {
-                let piece = std::mem::take(&mut stream.gathered).into_bytes();
-                stream.feed.send(piece).await
+            Some(stream) if !stream.output.is_empty() => {
+                let chunk = std::mem::take(&mut stream.output).into_bytes();
+                stream.feed.send(chunk).await
             }
             _ => true,
         }
     }
 
-    pub(crate) async fn complete(&mut self, whole: WholeText, has_usage: bool) {
+    /// Sends the end of the stream, or the whole result if the request does not stream.
+    pub(crate) async fn complete(&mut self, result: GenerationResult, has_usage: bool) {
         match &mut self.stream {
             Some(stream) => {
-                let end = stream.writer.end(whole.reason, has_usage.then_some(whole.usage));
-                stream.gathered.push_str(&end);
+                let end = stream.writer.end(result.reason, has_usage.then_some(result.usage));
+                stream.output.push_str(&end);
                 self.flush().await;
             }
             None => {
-                let _gone = self.reply.try_send(RelayReply::Whole(whole));
+                let _gone = self.reply.try_send(RelayReply::Completed(result));
             }
         }
     }
 
-    pub(crate) async fn refuse(&mut self, error: Error) {
+    /// Reports a failure: as an error event in a stream that has started, otherwise as the reply.
+    pub(crate) async fn fail(&mut self, error: Error) {
         match &mut self.stream {
-            Some(stream) if stream.has_begun => {
-                stream.gathered.push_str(&StreamWriter::failure(&error));
+            Some(stream) if stream.has_started => {
+                stream.output.push_str(&StreamWriter::failure(&error));
                 self.flush().await;
             }
             _ => {
-                let _gone = self.reply.try_send(RelayReply::Refused(error));
+                let _gone = self.reply.try_send(RelayReply::Failed(error));
             }
         }
     }
--- a/crates/hollyhook_daemon/src/relay/mod.rs
+++ b/crates/hollyhook_daemon/src/relay/mod.rs
@@ -1,8 +1,8 @@
-//! Drives one generation: feeds its relay with what happens and carries out what it decides.
+//! Drives a generation: reports events to its `GenerationRelay` and performs the actions that the relay returns.
 
 mod attempt_link;
 mod caller_link;
-mod latency_tape;
+mod latency_recorder;
 mod relay_driver;
 mod takeover;
 mod trace_store;
--- a/crates/hollyhook_daemon/src/relay/relay_driver.rs
+++ b/crates/hollyhook_daemon/src/relay/relay_driver.rs
@@ -13,17 +13,18 @@
 use hollyhook_wire::{CallerRequest, EngineExtension, EngineUsage};
 
 use super::GenerationStart;
-use super::attempt_link::{AttemptLink, AttemptOrder};
-use super::caller_link::{CallerLink, WholeText};
-use super::latency_tape::LatencyTape;
-use crate::fleet::{CancelOrder, HostContext, ResumePass};
+use super::attempt_link::{AttemptLink, AttemptSpec};
+use super::caller_link::{CallerLink, GenerationResult};
+use super::latency_recorder::LatencyRecorder;
+use crate::fleet::{CancelCommand, HostContext, ResumePermit};
 
-/// Outcomes of searches and probes that may wait.
-const INBOX: usize = 4;
-/// When a refused caller may come back, before a spread of as much again.
+/// Results of searches and probes that can be queued for the driver.
+const EVENT_CAPACITY: usize = 4;
+/// Minimum `Retry-After` delay of a failed generation, to which a random delay of up to the same length is added; also
+/// the retry delay that a search without a result reports to the relay.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What one request for a generation is about.
+/// A request for a generation, with its caller's account and its service's settings.
 #[derive(Debug)]
 pub(crate) struct RelayTask {
     pub(crate) request: Arc<CallerRequest>,
@@ -31,10 +32,10 @@
     pub(crate) service: Arc<str>,
     pub(crate) class: RequestClass,
     pub(crate) settings: GenerationSettings,
-    pub(crate) arrived: TimePoint,
+    pub(crate) arrived_at: TimePoint,
 }
 
-/// Runs one generation to its final answer.
+/// Runs one generation until it is complete or has failed.
 pub(crate) struct RelayDriver {
     context: Arc<HostContext>,
     task: RelayTask,
@@ -43,14 +44,14 @@
     is_continued: bool,
     relay: GenerationRelay,
     link: CallerLink,
-    inbox: Receiver<RelayEvent>,
-    sender: Sender<RelayEvent>,
-    wake: BoxFuture<'static, ()>,
-    gone: BoxFuture<'static, ()>,
+    events: Receiver<RelayEvent>,
+    event_sender: Sender<RelayEvent>,
+    relay_timer: BoxFuture<'static, ()>,
+    caller_gone: BoxFuture<'static, ()>,
     attempt: Option<AttemptLink>,
-    pass: Receiver<ResumePass>,
-    pass_sender: Sender<ResumePass>,
-    tape: LatencyTape,
+    permit: Receiver<ResumePermit>,
+    permit_sender: Sender<ResumePermit>,
+    recorder: LatencyRecorder,
     trace: Option<RelayTrace>,
     request_digest: u64,
     opened_at: Option<TimePoint>,
@@ -58,15 +59,16 @@
 
 impl RelayDriver {
     pub(crate) fn new(context: Arc<HostContext>, task: RelayTask, start: GenerationStart, link: CallerLink) -> Self {
-        let (sender, inbox) = async_channel::bounded(INBOX);
-        let (pass_sender, pass) = async_channel::bounded(1);
+        let (event_sender, events) = async_channel::bounded(EVENT_CAPACITY);
+        let (permit_sender, permit) = async_channel::bounded(1);
         let board = Arc::clone(&context.board);
-        let tape = LatencyTape::new(board, AccountName::clone(&task.account), task.class.label(), task.arrived);
+        let recorder =
+            LatencyRecorder::new(board, AccountName::clone(&task.account), task.class.label(), task.arrived_at);
         Self {
             request_digest: task.request.digest(),
-            trace: context.keeps_traces.then(|| begin_trace(&task, &start.relay)),
+            trace: context.keeps_traces.then(|| new_trace(&task, &start.relay)),
             opened_at: None,
-            gone: link.closed().boxed(),
+            caller_gone: link.closed().boxed(),
             context,
             task,
             generation: start.generation,
@@ -74,13 +76,13 @@
             is_continued: start.is_continued,
             relay: start.relay,
             link,
-            inbox,
-            sender,
-            wake: pending().boxed(),
+            events,
+            event_sender,
+            relay_timer: pending().boxed(),
             attempt: None,
-            pass,
-            pass_sender,
-            tape,
+            permit,
+            permit_sender,
+            recorder,
         }
     }
 
@@ -92,12 +94,14 @@
             self.handle(event).await;
         }
         if let Some(trace) = self.trace.take() {
-            self.context.traces.keep(self.generation, trace);
+            self.context.traces.store(self.generation, trace);
         }
     }
 
-    /// What has arrived goes before a timer, so that a driver that was held up does not take its own delay for a
-    /// silence of the endpoint.
+    /// Waits for the next event.
+    ///
+    /// Events that have arrived take precedence over the timer, so that a delayed driver does not mistake its own delay
+    /// for silence of the endpoint.
     async fn next_event(&mut self) -> RelayEvent {
         if let Some(event) = self.attempt.as_mut().and_then(AttemptLink::ready) {
             return event;
@@ -114,15 +118,15 @@
                 }
             };
             let mut streamed = std::pin::pin!(streamed.fuse());
-            let mut arrived = std::pin::pin!(self.inbox.recv().fuse());
+            let mut queued = std::pin::pin!(self.events.recv().fuse());
             futures::select_biased! {
                 event = streamed => return event,
-                event = arrived => return event.unwrap_or(RelayEvent::CallerLeft),
-                () = (&mut self.gone).fuse() => return RelayEvent::CallerLeft,
-                () = (&mut self.wake).fuse() => {}
+                event = queued => return event.unwrap_or(RelayEvent::CallerLeft),
+                () = (&mut self.caller_gone).fuse() => return RelayEvent::CallerLeft,
+                () = (&mut self.relay_timer).fuse() => {}
             }
         }
-        self.wake = pending().boxed();
+        self.relay_timer = pending().boxed();
         let timeouts = self.context.fleet.stream_timeouts(self.relay.endpoint(), &self.task.settings.policy);
         RelayEvent::TimerFired { timeouts }
     }
@@ -130,9 +134,9 @@
     async fn handle(&mut self, event: RelayEvent) {
         let now = self.context.timer.now();
         if matches!(event, RelayEvent::Opened { .. }) {
-            self.link.begin(self.is_continued);
+            self.link.start_stream(self.is_continued);
             if self.relay.delivered() == 0 {
-                self.tape.accepted(now);
+                self.recorder.record_accepted(now);
             }
         }
         if let Some(trace) = &mut self.trace {
@@ -151,16 +155,16 @@
             RelayAction::Cancel { attempt, endpoint } => self.cancel(attempt, endpoint),
             RelayAction::Close { .. } => self.attempt = None,
             RelayAction::Deliver { text, .. } => self.deliver(now, &text).await,
-            RelayAction::SetTimer { at } => self.set_wake(at),
+            RelayAction::SetTimer { at } => self.set_timer(at),
             RelayAction::Complete { reason, tokens } => self.complete(reason, tokens).await,
             RelayAction::Fail { kind, delivered } => self.fail(kind, delivered).await,
-            RelayAction::Count(note) => self.note(note),
+            RelayAction::Count(counter) => self.count(counter),
         }
     }
 
-    fn set_wake(&mut self, at: TimePoint) {
+    fn set_timer(&mut self, at: TimePoint) {
         let timer = Arc::clone(&self.context.timer);
-        self.wake = async move { timer.wait_until(at).await }.boxed();
+        self.relay_timer = async move { timer.wait_until(at).await }.boxed();
     }
 
     fn assign(&mut self, attempt: AttemptNumber, avoid: Vec<EndpointId>, is_resume: bool) {
@@ -171,16 +175,16 @@
             affinity: self.has_affinity.then(|| self.generation.bits()),
         };
         let urgency = self.task.class.priority();
-        let sender = self.sender.clone();
-        let passes = self.pass_sender.clone();
-        let _released = self.pass.try_recv();
+        let event_sender = self.event_sender.clone();
+        let permit_sender = self.permit_sender.clone();
+        let _released = self.permit.try_recv();
         task::spawn(async move {
-            let pass = if is_resume { Some(search.context.resumes.enter(urgency).await) } else { None };
+            let permit = if is_resume { Some(search.context.resumes.acquire(urgency).await) } else { None };
             let event = search.run(attempt, &avoid);
-            if let Some(pass) = pass {
-                let _gone = passes.try_send(pass);
+            if let Some(permit) = permit {
+                let _gone = permit_sender.try_send(permit);
             }
-            let _gone = sender.send(event).await;
+            let _gone = event_sender.send(event).await;
         });
     }
 
@@ -195,38 +199,38 @@
             resume_tokens: Vec::new(),
         };
         let log = if mode == OpenMode::Resume { self.relay.log().clone() } else { TokenLog::default() };
-        let order = AttemptOrder { request: Arc::clone(&self.task.request), extension, mode, log };
-        self.attempt = Some(AttemptLink::open(&self.context, endpoint, order));
+        let spec = AttemptSpec { request: Arc::clone(&self.task.request), extension, mode, log };
+        self.attempt = Some(AttemptLink::open(&self.context, endpoint, spec));
     }
 
     fn probe(&self, attempt: AttemptNumber, endpoint: EndpointId) {
         let context = Arc::clone(&self.context);
         let generation = self.generation;
-        let limit = self.task.settings.policy.probe_timeout;
-        let sender = self.sender.clone();
+        let timeout = self.task.settings.policy.probe_timeout;
+        let event_sender = self.event_sender.clone();
         task::spawn(async move {
-            let report = context.probes.probe(&context, &endpoint, generation, limit).await;
-            let _gone = sender.send(RelayEvent::Probed { attempt, report }).await;
+            let report = context.probes.probe(&context, &endpoint, generation, timeout).await;
+            let _gone = event_sender.send(RelayEvent::Probed { attempt, report }).await;
         });
     }
 
     fn cancel(&mut self, attempt: AttemptNumber, endpoint: EndpointId) {
         self.attempt = None;
-        let order = CancelOrder { endpoint, generation: self.generation, attempt };
-        if self.context.cancels.post(order).is_err() {
+        let command = CancelCommand { endpoint, generation: self.generation, attempt };
+        if self.context.cancels.post(command).is_err() {
             self.context.board.count("cancel_dropped");
         }
     }
 
     async fn deliver(&mut self, now: TimePoint, text: &str) {
-        let _released = self.pass.try_recv();
-        let gap = self.tape.token(now);
-        let first = self.opened_at.take().map(|opened| now - opened);
+        let _released = self.permit.try_recv();
+        let gap = self.recorder.record_token(now);
+        let time_to_first_token = self.opened_at.take().map(|opened| now - opened);
         if let Some(endpoint) = self.relay.endpoint()
             && let Some(record) = self.context.fleet.lock().get_mut(endpoint)
         {
-            match (first, gap) {
-                (Some(first), _) => record.latency_estimator.observe_first_token(first),
+            match (time_to_first_token, gap) {
+                (Some(time), _) => record.latency_estimator.observe_first_token(time),
                 (None, Some(gap)) => record.latency_estimator.observe_inter_token(gap),
                 (None, None) => {}
             }
@@ -261,29 +265,29 @@
         let usage = EngineUsage { prompt_tokens: prompt, completion_tokens: tokens, total_tokens: prompt + tokens };
         let text = if self.link.is_streaming() { String::new() } else { self.relay.log().text().to_owned() };
         let has_usage = self.task.request.has_usage;
-        self.link.complete(WholeText { text, reason, usage }, has_usage).await;
+        self.link.complete(GenerationResult { text, reason, usage }, has_usage).await;
     }
 
     async fn fail(&mut self, kind: ErrorKind, delivered: u64) {
         self.attempt = None;
         self.context.board.count("generation_failed");
-        let mut error = Error::new(kind, failure_text(kind, delivered, &self.task));
+        let mut error = Error::new(kind, failure_message(kind, delivered, &self.task));
         if kind.has_retry_after() {
             error = error.retry_after(RETRY_AFTER + RETRY_AFTER.mul_f64(rand::random()));
         }
-        self.link.refuse(error).await;
+        self.link.fail(error).await;
     }
 
-    fn note(&mut self, note: RelayCounter) {
-        self.context.board.count(note.label());
-        match note {
-            RelayCounter::Resumed | RelayCounter::Reattached | RelayCounter::Replayed => self.tape.lost(),
+    fn count(&mut self, counter: RelayCounter) {
+        self.context.board.count(counter.label());
+        match counter {
+            RelayCounter::Resumed | RelayCounter::Reattached | RelayCounter::Replayed => self.recorder.mark_resuming(),
             _ => {}
         }
     }
 }
 
-fn begin_trace(task: &RelayTask, relay: &GenerationRelay) -> RelayTrace {
+fn new_trace(task: &RelayTask, relay: &GenerationRelay) -> RelayTrace {
     RelayTrace::new(TraceStart {
         policy: task.settings.policy.clone(),
         endpoint: relay.endpoint().map(EndpointId::clone),
@@ -293,6 +297,7 @@
     })
 }
 
+/// Search for an endpoint for one attempt.
 struct EndpointSearch {
     context: Arc<HostContext>,
     service: Arc<str>,
@@ -303,8 +308,8 @@
 impl EndpointSearch {
     fn run(&self, attempt: AttemptNumber, avoid: &[EndpointId]) -> RelayEvent {
         let mut query = RouteQuery::new(&self.service).binding(&self.settings.binding).avoid(avoid);
-        if let Some(number) = self.affinity {
-            query = query.affinity(number);
+        if let Some(key) = self.affinity {
+            query = query.affinity(key);
         }
         let now = self.context.timer.now();
         match self.context.fleet.lock().choose(now, &query, &mut rand::rng()) {
@@ -314,7 +319,7 @@
     }
 }
 
-fn failure_text(kind: ErrorKind, delivered: u64, task: &RelayTask) -> String {
+fn failure_message(kind: ErrorKind, delivered: u64, task: &RelayTask) -> String {
     let model = &task.request.model;
     match kind {
         ErrorKind::NoEndpoint => format!("no endpoint of `{model}` takes requests now"),
--- a/crates/hollyhook_daemon/src/relay/takeover.rs
+++ b/crates/hollyhook_daemon/src/relay/takeover.rs
@@ -9,39 +9,39 @@
 
 use crate::fleet::HostContext;
 
-/// How long the endpoints that may hold a generation are asked.
+/// Timeout for querying the endpoints that may hold a generation.
 const FIND_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Where a generation begins on this host.
+/// Starting point of a generation on this host: new, taken over, or to be replayed.
 #[derive(Debug)]
 pub(crate) struct GenerationStart {
     pub(crate) generation: GenerationId,
     pub(crate) relay: GenerationRelay,
-    /// Whether every host would place it on the same few endpoints.
+    /// Whether the generation is placed by its id, so that every host chooses among the same few endpoints.
     pub(crate) has_affinity: bool,
-    /// Whether the caller has had a part of it.
+    /// Whether the caller already has a part of the stream.
     pub(crate) is_continued: bool,
 }
 
-/// Takes a generation over by its cursor or by the key that names it, or starts a new one.
+/// Takes over a running generation, found by the caller's cursor or idempotency key, or starts a new one.
 ///
-/// A generation that nobody holds is started, or replayed if the caller has had a part of it.
+/// If no endpoint is found to hold the generation, it is replayed for a caller with a cursor and started otherwise.
 pub(crate) async fn resolve_start(
     context: &HostContext,
     service: &str,
     settings: &GenerationSettings,
     cursor: Option<StreamCursor>,
-    keyed: Option<GenerationId>,
+    keyed_generation: Option<GenerationId>,
 ) -> GenerationStart {
     let relay = GenerationRelay::new(settings.policy.clone());
     if let Some(cursor) = cursor {
         return continue_stream(context, relay, cursor).await;
     }
-    let Some(generation) = keyed else {
+    let Some(generation) = keyed_generation else {
         let generation = GenerationId::from_bits(rand::random());
         return GenerationStart { generation, relay, has_affinity: false, is_continued: false };
     };
-    let relay = match find_keyed(context, service, settings, generation).await {
+    let relay = match find_by_key(context, service, settings, generation).await {
         Some((endpoint, held)) => {
             context.board.count("takeover_by_key");
             relay.taken_over(Some(endpoint), held.attempt.takeover(), 0, PrefixDigest::default())
@@ -67,7 +67,7 @@
     }
 }
 
-async fn find_keyed(
+async fn find_by_key(
     context: &HostContext,
     service: &str,
     settings: &GenerationSettings,
@@ -75,11 +75,11 @@
 ) -> Option<(EndpointId, GenerationState)> {
     let query = RouteQuery::new(service).binding(&settings.binding);
     let candidates = context.fleet.lock().affinity_candidates(&query, generation.bits());
-    let asks = candidates.into_iter().map(|id| async move {
+    let queries = candidates.into_iter().map(|id| async move {
         let address = context.fleet.address(&id)?;
         let held = context.engine.find(address, generation, FIND_TIMEOUT).await.ok()??;
         Some((id, held))
     });
-    let found = join_all(asks).await;
+    let found = join_all(queries).await;
     found.into_iter().flatten().max_by_key(|(_, held)| held.attempt)
 }
--- a/crates/hollyhook_daemon/src/relay/trace_store.rs
+++ b/crates/hollyhook_daemon/src/relay/trace_store.rs
@@ -3,17 +3,19 @@
 
 use hollyhook_core::{GenerationId, Name, RelayTrace};
 
-/// Bytes of traces that are kept.
+/// Maximum total size of the stored traces, in bytes.
 const MAX_BYTES: usize = 16 << 20;
 
-/// The traces of the last generations, the oldest forgotten first. A host keeps nothing else of them.
+/// The traces of the most recent generations; the oldest are evicted first.
+///
+/// A host keeps no other record of a generation that has ended.
 #[derive(Debug, Default)]
 pub(crate) struct TraceStore {
-    kept: Mutex<KeptTraces>,
+    buffer: Mutex<TraceBuffer>,
 }
 
 #[derive(Debug, Default)]
-struct KeptTraces {
+struct TraceBuffer {
     traces: VecDeque<(GenerationId, Name)>,
     bytes: usize,
 }
@@ -22,26 +24,26 @@
     /// The name that the service is registered under.
     pub(crate) const NAME: &'static str = "traces";
 
-    /// Keeps a trace with what came of it; one that is larger than the store is dropped.
-    pub(crate) fn keep(&self, generation: GenerationId, mut trace: RelayTrace) {
+    /// Stores a trace with its outcome; a trace larger than the store is dropped, along with all others.
+    pub(crate) fn store(&self, generation: GenerationId, mut trace: RelayTrace) {
         if trace.record_outcome().is_err() {
             return;
         }
         let text = Name::from(trace.to_string());
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.bytes += text.len();
-        kept.traces.push_back((generation, text));
-        while kept.bytes > MAX_BYTES
-            && let Some((_, oldest)) = kept.traces.pop_front()
+        let mut buffer = self.buffer.lock().unwrap_or_else(PoisonError::into_inner);
+        buffer.bytes += text.len();
+        buffer.traces.push_back((generation, text));
+        while buffer.bytes > MAX_BYTES
+            && let Some((_, oldest)) = buffer.traces.pop_front()
         {
-            kept.bytes -= oldest.len();
+            buffer.bytes -= oldest.len();
         }
     }
 
-    /// The newest trace of a generation.
+    /// The newest stored trace of a generation.
     pub(crate) fn find(&self, generation: GenerationId) -> Option<Name> {
-        let kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        let found = kept.traces.iter().rev().find(|(id, _)| *id == generation);
-        found.map(|(_, text)| Name::clone(text))
+        let buffer = self.buffer.lock().unwrap_or_else(PoisonError::into_inner);
+        let newest = buffer.traces.iter().rev().find(|(id, _)| *id == generation);
+        newest.map(|(_, text)| Name::clone(text))
     }
 }
