--- a/crates/hollyhook_daemon/src/front/generate.rs
+++ b/crates/hollyhook_daemon/src/front/generate.rs
@@ -49,8 +49,8 @@
     let (reply_sender, reply) = async_channel::bounded(1);
     let (link, body) = if request.is_stream {
         let writer = StreamWriter::new(style, generation, &request.model, created);
-        let (feed, body) = feed_body(BODY_CHUNK_CAPACITY);
-        (CallerLink::streaming(reply_sender, feed, writer), Some(body))
+        let (body_sender, body) = feed_body(BODY_CHUNK_CAPACITY);
+        (CallerLink::streaming(reply_sender, body_sender, writer), Some(body))
     } else {
         (CallerLink::buffered(reply_sender), None)
     };
@@ -64,7 +64,7 @@
             Ok(response.body(body).content_type("text/event-stream").header("cache-control", "no-cache").build())
         }
         (RelayReply::Completed(result), _) => {
-            let answer = WholeAnswer {
+            let completion = WholeAnswer {
                 style,
                 generation,
                 model: &request.model,
@@ -73,7 +73,7 @@
                 reason: result.reason,
                 usage: result.usage,
             };
-            Ok(response.body(answer.to_json()).content_type(tide::http::mime::JSON).build())
+            Ok(response.body(completion.to_json()).content_type(tide::http::mime::JSON).build())
         }
         (RelayReply::Streaming, None) => Err(Error::new(ErrorKind::Internal, "a whole answer began to stream")),
     }
--- a/crates/hollyhook_daemon/src/relay/caller_link.rs
+++ b/crates/hollyhook_daemon/src/relay/caller_link.rs
@@ -33,7 +33,7 @@
 
 #[derive(Debug)]
 struct StreamLink {
-    feed: BodyFeed,
+    body_sender: BodyFeed,
     writer: StreamWriter,
     output: String,
     has_started: bool,
@@ -44,8 +44,8 @@
         Self { reply, stream: None }
     }
 
-    pub(crate) fn streaming(reply: Sender<RelayReply>, feed: BodyFeed, writer: StreamWriter) -> Self {
-        let stream = StreamLink { feed, writer, output: String::new(), has_started: false };
+    pub(crate) fn streaming(reply: Sender<RelayReply>, body_sender: BodyFeed, writer: StreamWriter) -> Self {
+        let stream = StreamLink { body_sender, writer, output: String::new(), has_started: false };
         Self { reply, stream: Some(stream) }
     }
 
@@ -56,10 +56,10 @@
     /// Completes when the caller has disconnected.
     pub(crate) fn closed(&self) -> impl Future<Output = ()> + Send + 'static {
         let reply = self.reply.clone();
-        let feed = self.stream.as_ref().map(|stream| stream.feed.clone());
+        let body_sender = self.stream.as_ref().map(|stream| stream.body_sender.clone());
         async move {
-            match feed {
-                Some(feed) => feed.closed().await,
+            match body_sender {
+                Some(body_sender) => body_sender.closed().await,
                 None => reply.closed().await,
             }
         }
@@ -96,7 +96,7 @@
         match &mut self.stream {
             Some(stream) if !stream.output.is_empty() => {
                 let chunk = std::mem::take(&mut stream.output).into_bytes();
-                stream.feed.send(chunk).await
+                stream.body_sender.send(chunk).await
             }
             _ => true,
         }
--- a/crates/hollyhook_daemon/src/relay/latency_recorder.rs
+++ b/crates/hollyhook_daemon/src/relay/latency_tracker.rs
@@ -10,7 +10,7 @@
 
 /// Measures the latencies of one generation and records them as metrics, inter-token times in batches.
 #[derive(Debug)]
-pub(super) struct LatencyRecorder {
+pub(super) struct LatencyTracker {
     board: Arc<MetricBoard>,
     account: Name,
     class: &'static str,
@@ -20,7 +20,7 @@
     gaps: Vec<Duration>,
 }
 
-impl LatencyRecorder {
+impl LatencyTracker {
     pub(super) fn new(board: Arc<MetricBoard>, account: Name, class: &'static str, arrived_at: TimePoint) -> Self {
         Self { board, account, class, arrived_at, last_token: None, is_resuming: false, gaps: Vec::new() }
     }
@@ -67,7 +67,7 @@
     }
 }
 
-impl Drop for LatencyRecorder {
+impl Drop for LatencyTracker {
     fn drop(&mut self) {
         self.flush();
     }
--- a/crates/hollyhook_daemon/src/relay/mod.rs
+++ b/crates/hollyhook_daemon/src/relay/mod.rs
@@ -2,7 +2,7 @@
 
 mod attempt_link;
 mod caller_link;
-mod latency_recorder;
+mod latency_tracker;
 mod relay_driver;
 mod takeover;
 mod trace_store;
--- a/crates/hollyhook_daemon/src/relay/relay_driver.rs
+++ b/crates/hollyhook_daemon/src/relay/relay_driver.rs
@@ -15,7 +15,7 @@
 use super::GenerationStart;
 use super::attempt_link::{AttemptLink, AttemptSpec};
 use super::caller_link::{CallerLink, GenerationResult};
-use super::latency_recorder::LatencyRecorder;
+use super::latency_tracker::LatencyTracker;
 use crate::fleet::{CancelCommand, HostContext, ResumePermit};
 
 /// Results of searches and probes that can be queued for the driver.
@@ -51,7 +51,7 @@
     attempt: Option<AttemptLink>,
     permit: Receiver<ResumePermit>,
     permit_sender: Sender<ResumePermit>,
-    recorder: LatencyRecorder,
+    tracker: LatencyTracker,
     trace: Option<RelayTrace>,
     request_digest: u64,
     opened_at: Option<TimePoint>,
@@ -62,8 +62,8 @@
         let (event_sender, events) = async_channel::bounded(EVENT_CAPACITY);
         let (permit_sender, permit) = async_channel::bounded(1);
         let board = Arc::clone(&context.board);
-        let recorder =
-            LatencyRecorder::new(board, AccountName::clone(&task.account), task.class.label(), task.arrived_at);
+        let tracker =
+            LatencyTracker::new(board, AccountName::clone(&task.account), task.class.label(), task.arrived_at);
         Self {
             request_digest: task.request.digest(),
             trace: context.keeps_traces.then(|| new_trace(&task, &start.relay)),
@@ -82,7 +82,7 @@
             attempt: None,
             permit,
             permit_sender,
-            recorder,
+            tracker,
         }
     }
 
@@ -136,7 +136,7 @@
         if matches!(event, RelayEvent::Opened { .. }) {
             self.link.start_stream(self.is_continued);
             if self.relay.delivered() == 0 {
-                self.recorder.record_accepted(now);
+                self.tracker.record_accepted(now);
             }
         }
         if let Some(trace) = &mut self.trace {
@@ -224,7 +224,7 @@
 
     async fn deliver(&mut self, now: TimePoint, text: &str) {
         let _released = self.permit.try_recv();
-        let gap = self.recorder.record_token(now);
+        let gap = self.tracker.record_token(now);
         let time_to_first_token = self.opened_at.take().map(|opened| now - opened);
         if let Some(endpoint) = self.relay.endpoint()
             && let Some(record) = self.context.fleet.lock().get_mut(endpoint)
@@ -281,7 +281,7 @@
     fn count(&mut self, counter: RelayCounter) {
         self.context.board.count(counter.label());
         match counter {
-            RelayCounter::Resumed | RelayCounter::Reattached | RelayCounter::Replayed => self.recorder.mark_resuming(),
+            RelayCounter::Resumed | RelayCounter::Reattached | RelayCounter::Replayed => self.tracker.mark_resuming(),
             _ => {}
         }
     }
