--- a/crates/hollyhook/tests/processes/plain_calls.rs
+++ b/crates/hollyhook/tests/processes/plain_calls.rs
@@ -1,19 +1,19 @@
 use async_std::task::{block_on, spawn};
 use hollyhook_standin::FaultKind;
-use hollyhook_wire::CallerAnswer;
+use hollyhook_wire::CallerResponse;
 use http_types::Method;
 use nix::sys::signal::Signal;
 use serde_json::json;
 
 use crate::fleet::{Fleet, FleetPlan, until};
 
-async fn book(fleet: &Fleet, daemon: usize, key: &str, lesson: u32) -> CallerAnswer {
+async fn book(fleet: &Fleet, daemon: usize, key: &str, lesson: u32) -> CallerResponse {
     let fields = [("idempotency-key", key)];
     let body = json!({"lesson": lesson});
     fleet.client(daemon).call(Method::Post, "/booking/confirm", Some(&body), &fields).await.unwrap()
 }
 
-fn code(answer: &CallerAnswer) -> (u16, &str, &str) {
+fn code(answer: &CallerResponse) -> (u16, &str, &str) {
     let error = &answer.value["error"];
     (answer.status, error["code"].as_str().unwrap_or_default(), error["run"].as_str().unwrap_or_default())
 }
--- a/crates/hollyhook_daemon/src/daemon/assembly.rs
+++ b/crates/hollyhook_daemon/src/daemon/assembly.rs
@@ -6,7 +6,7 @@
 use async_std::task;
 use futures::future::{AbortHandle, abortable};
 use hollyhook_core::{CursorSeal, Error, ErrorKind, Result, RetryBudget};
-use hollyhook_kernel::{Mailbox, ServiceRegistry, TimerService, WallClock};
+use hollyhook_kernel::{Mailbox, ServiceRegistry, SystemClock, TimerService};
 use hollyhook_settings::{LimitSettings, ProcessSettings, SiteSettings};
 use hollyhook_wire::{
     ConnectionGate, EngineClient, HttpServer, PeerServer, PlatformClient, ServerLimits, StatusReport, serve_peers,
@@ -90,7 +90,7 @@
         tracing::info!(host = %self.context.host, requests = begun, "daemon.draining");
         self.gate.drain();
         let limit = self.context.site.limits.drain_timeout;
-        let is_idle = self.context.timer.within(limit, self.gate.idle()).await.is_some();
+        let is_idle = self.context.timer.within(limit, self.gate.wait_idle()).await.is_some();
         tracing::info!(host = %self.context.host, is_idle, "daemon.stopped");
         is_idle
     }
@@ -123,7 +123,7 @@
     let registry = ServiceRegistry::default();
     let limits = site.limits.clone();
     let site = registry.register(HostContext::SITE, site)?;
-    let timer = registry.register(TimerService::NAME, TimerService::from(WallClock::start()))?;
+    let timer = registry.register(TimerService::NAME, TimerService::from(SystemClock::start()))?;
     let board = match settings.statsd {
         Some(address) => MetricBoard::with_statsd(address, &settings.host)?,
         None => MetricBoard::default(),
--- a/crates/hollyhook_daemon/src/front/generate.rs
+++ b/crates/hollyhook_daemon/src/front/generate.rs
@@ -3,7 +3,9 @@
 use async_std::task;
 use hollyhook_core::{Error, ErrorKind, GenerationId, Name, Result, StreamCursor};
 use hollyhook_settings::{AccountSettings, GenerationSettings, ServiceKind, ServiceSettings};
-use hollyhook_wire::{ApiStyle, CallerRequest, RequestLimits, StreamWriter, WholeAnswer, feed_body, read_body};
+use hollyhook_wire::{
+    ApiStyle, CallerRequest, CompletionResponse, RequestLimits, StreamWriter, body_channel, read_body,
+};
 use http_types::StatusCode;
 use tide::{Request, Response};
 
@@ -25,7 +27,7 @@
     let bytes = read_body(request.take_body(), context.site.limits.body).await?;
     let caller = CallerRequest::parse(style, &bytes)?;
     let (service, settings) = find_service(&context, &caller)?;
-    caller.check(RequestLimits { context: settings.context })?;
+    caller.check(RequestLimits { context_tokens: settings.context })?;
     let cursor = read_cursor(&context, &request, account, &caller)?;
     let keyed = read_key(&request)?.map(|key| {
         // The request is part of the identity, so that a key used twice never leads to another request's answer.
@@ -48,7 +50,7 @@
     let (reply_sender, reply) = async_channel::bounded(1);
     let (link, body) = if request.is_stream {
         let writer = StreamWriter::new(style, generation, &request.model, created);
-        let (feed, body) = feed_body(FEED_CAPACITY);
+        let (feed, body) = body_channel(FEED_CAPACITY);
         (CallerLink::streaming(reply_sender, feed, writer), Some(body))
     } else {
         (CallerLink::whole(reply_sender), None)
@@ -63,7 +65,7 @@
             Ok(response.body(body).content_type("text/event-stream").header("cache-control", "no-cache").build())
         }
         (RelayReply::Whole(whole), _) => {
-            let answer = WholeAnswer {
+            let answer = CompletionResponse {
                 style,
                 generation,
                 model: &request.model,
--- a/crates/hollyhook_daemon/src/relay/attempt_link.rs
+++ b/crates/hollyhook_daemon/src/relay/attempt_link.rs
@@ -58,7 +58,7 @@
         let LinkPhase::Reading(stream) = &mut self.phase else {
             return None;
         };
-        let item = stream.ready()?;
+        let item = stream.next_buffered()?;
         Some(self.event(item))
     }
 
--- a/crates/hollyhook_daemon/src/relay/caller_link.rs
+++ b/crates/hollyhook_daemon/src/relay/caller_link.rs
@@ -1,6 +1,6 @@
 use async_channel::Sender;
 use hollyhook_core::{EndReason, Error};
-use hollyhook_wire::{BodyFeed, EngineUsage, StreamWriter};
+use hollyhook_wire::{BodySender, EngineUsage, StreamWriter};
 
 /// Bytes that may be gathered before they are sent.
 const GATHER_BYTES: usize = 16 * 1_024;
@@ -33,7 +33,7 @@
 
 #[derive(Debug)]
 struct StreamLink {
-    feed: BodyFeed,
+    feed: BodySender,
     writer: StreamWriter,
     gathered: String,
     has_begun: bool,
@@ -44,7 +44,7 @@
         Self { reply, stream: None }
     }
 
-    pub(crate) fn streaming(reply: Sender<RelayReply>, feed: BodyFeed, writer: StreamWriter) -> Self {
+    pub(crate) fn streaming(reply: Sender<RelayReply>, feed: BodySender, writer: StreamWriter) -> Self {
         let stream = StreamLink { feed, writer, gathered: String::new(), has_begun: false };
         Self { reply, stream: Some(stream) }
     }
--- a/crates/hollyhook_daemon/src/relay/takeover.rs
+++ b/crates/hollyhook_daemon/src/relay/takeover.rs
@@ -53,7 +53,7 @@
 
 async fn continue_stream(context: &HostContext, relay: GenerationRelay, cursor: StreamCursor) -> GenerationStart {
     let held = match context.fleet.address(&cursor.endpoint) {
-        Some(address) => context.engine.find(address, cursor.generation, FIND_TIMEOUT).await.ok().flatten(),
+        Some(address) => context.engine.generation_state(address, cursor.generation, FIND_TIMEOUT).await.ok().flatten(),
         None => None,
     };
     context.board.count(if held.is_some() { "takeover_by_cursor" } else { "takeover_by_replay" });
@@ -77,7 +77,7 @@
     let candidates = context.fleet.lock().affinity_candidates(&query, generation.bits());
     let asks = candidates.into_iter().map(|id| async move {
         let address = context.fleet.address(&id)?;
-        let held = context.engine.find(address, generation, FIND_TIMEOUT).await.ok()??;
+        let held = context.engine.generation_state(address, generation, FIND_TIMEOUT).await.ok()??;
         Some((id, held))
     });
     let found = join_all(asks).await;
--- a/crates/hollyhook_gateway/src/gateway/gateway_context.rs
+++ b/crates/hollyhook_gateway/src/gateway/gateway_context.rs
@@ -7,7 +7,7 @@
     ConfigAdoption, FeedTiming, Name, RequestKind, Result, SiteConfig, SiteIndex, SiteState, StopPhase, StopPlan,
     TimePoint, ZoneName,
 };
-use hollyhook_kernel::{ServiceRegistry, TimerService, WallClock};
+use hollyhook_kernel::{ServiceRegistry, SystemClock, TimerService};
 use hollyhook_settings::GatewaySettings;
 use hollyhook_telemetry::MetricBoard;
 
@@ -69,7 +69,7 @@
     ///
     /// `Conflict` if one is registered already.
     pub(crate) fn register(registry: &ServiceRegistry, settings: &GatewaySettings) -> Result<()> {
-        let timer = registry.register(TimerService::NAME, TimerService::from(WallClock::start()))?;
+        let timer = registry.register(TimerService::NAME, TimerService::from(SystemClock::start()))?;
         registry.register(ConnectionPool::NAME, ConnectionPool::new(TimerService::clone(&timer)))?;
         let feed = FeedBoard::new(Name::clone(&settings.host), ZoneName::clone(&settings.zone), settings.link_mbps);
         registry.register(FeedBoard::NAME, feed)?;
--- a/crates/hollyhook_kernel/src/lib.rs
+++ b/crates/hollyhook_kernel/src/lib.rs
@@ -6,4 +6,4 @@
 mod timer;
 
 pub use registry::{Mailbox, ServiceRegistry};
-pub use timer::{TimerService, VirtualClock, WallClock};
+pub use timer::{SystemClock, TimerService, VirtualClock};
--- a/crates/hollyhook_kernel/src/timer/clock.rs
+++ b/crates/hollyhook_kernel/src/timer/clock.rs
@@ -16,13 +16,13 @@
 /// It goes on while the machine is suspended, unlike the standard library's `Instant`: a host that wakes must know
 /// that its deadlines and what it believed of others are old.
 #[derive(Debug, Clone, Copy)]
-pub struct WallClock {
+pub struct SystemClock {
     start: Duration,
     /// The time since the machine's start.
     source: fn() -> Duration,
 }
 
-impl WallClock {
+impl SystemClock {
     /// A clock that starts now.
     pub fn start() -> Self {
         Self::reading(since_boot)
--- a/crates/hollyhook_kernel/src/timer/mod.rs
+++ b/crates/hollyhook_kernel/src/timer/mod.rs
@@ -3,5 +3,5 @@
 mod clock;
 mod timer_service;
 
-pub use clock::{VirtualClock, WallClock};
+pub use clock::{SystemClock, VirtualClock};
 pub use timer_service::TimerService;
--- a/crates/hollyhook_kernel/src/timer/timer_service.rs
+++ b/crates/hollyhook_kernel/src/timer/timer_service.rs
@@ -3,7 +3,7 @@
 use futures::future::{Either, select};
 use hollyhook_core::TimePoint;
 
-use super::{VirtualClock, WallClock};
+use super::{SystemClock, VirtualClock};
 
 /// The time, and waiting for it, for every part of a process.
 ///
@@ -23,7 +23,7 @@
 
 #[derive(Debug, Clone)]
 enum ClockSource {
-    Wall(WallClock),
+    Wall(SystemClock),
     Virtual(VirtualClock),
 }
 
@@ -42,7 +42,7 @@
     /// The time of day in Unix seconds; under a virtual clock, seconds since its start.
     pub fn unix_secs(&self) -> u64 {
         match &self.source {
-            ClockSource::Wall(_) => WallClock::unix_secs(),
+            ClockSource::Wall(_) => SystemClock::unix_secs(),
             ClockSource::Virtual(clock) => clock.now().as_micros() / 1_000_000,
         }
     }
@@ -71,8 +71,8 @@
     }
 }
 
-impl From<WallClock> for TimerService {
-    fn from(clock: WallClock) -> Self {
+impl From<SystemClock> for TimerService {
+    fn from(clock: SystemClock) -> Self {
         Self { source: ClockSource::Wall(clock) }
     }
 }
--- a/crates/hollyhook_kernel/tests/timer.rs
+++ b/crates/hollyhook_kernel/tests/timer.rs
@@ -5,7 +5,7 @@
 
 use futures::executor::block_on;
 use futures::future::{Either, select};
-use hollyhook_kernel::{TimerService, WallClock};
+use hollyhook_kernel::{SystemClock, TimerService};
 
 const START: u64 = 100_000;
 /// How long the machine was suspended, in milliseconds; far longer than anything waits here.
@@ -22,7 +22,7 @@
 /// it knew before is old.
 #[test]
 fn wait_ends_after_suspension() {
-    let timer = TimerService::from(WallClock::reading(boot_time));
+    let timer = TimerService::from(SystemClock::reading(boot_time));
     let wait = std::pin::pin!(timer.wait(Duration::from_mins(10)));
     let suspension = std::pin::pin!(async {
         async_io::Timer::after(Duration::from_millis(50)).await;
--- a/crates/hollyhook_standin/src/engine/engine_stand_in.rs
+++ b/crates/hollyhook_standin/src/engine/engine_stand_in.rs
@@ -8,7 +8,7 @@
 use async_std::task;
 use hollyhook_core::{AttemptNumber, EndpointRefusal, Error, ErrorKind, GenerationId, LoadReport, Result};
 use hollyhook_wire::{
-    ApiErrorBody, ApiStyle, CallerRequest, EngineExtension, HttpServer, LOAD_FIELD, ServerLimits, feed_body,
+    ApiErrorBody, ApiStyle, CallerRequest, EngineExtension, HttpServer, LOAD_HEADER, ServerLimits, body_channel,
 };
 use serde::Deserialize;
 use tide::{Request, Response, StatusCode};
@@ -209,9 +209,9 @@
     from: usize,
     wake: Receiver<()>,
 ) -> Response {
-    let (feed, body) = feed_body(FEED_CAPACITY);
+    let (feed, body) = body_channel(FEED_CAPACITY);
     let load = serde_json::to_string(&shared.load()).unwrap_or_default();
     let pump = StreamPump::new(shared, id, attempt, from);
     task::spawn(pump.run(feed, wake));
-    Response::builder(StatusCode::Ok).content_type("text/event-stream").header(LOAD_FIELD, load).body(body).build()
+    Response::builder(StatusCode::Ok).content_type("text/event-stream").header(LOAD_HEADER, load).body(body).build()
 }
--- a/crates/hollyhook_standin/src/engine/stream_pump.rs
+++ b/crates/hollyhook_standin/src/engine/stream_pump.rs
@@ -6,7 +6,7 @@
 use async_channel::Receiver;
 use futures::future::{Either, select};
 use hollyhook_core::{AttemptNumber, EndReason, GenerationId, Name};
-use hollyhook_wire::{ApiStyle, BodyFeed, ChunkChoice, ChunkDelta, EngineChunk, EngineUsage};
+use hollyhook_wire::{ApiStyle, BodySender, ChunkChoice, ChunkDelta, EngineChunk, EngineUsage};
 
 use super::engine_shared::EngineShared;
 use super::sequence::Sequence;
@@ -34,12 +34,12 @@
         }
     }
 
-    pub(super) async fn run(mut self, feed: BodyFeed, wake: Receiver<()>) {
+    pub(super) async fn run(mut self, feed: BodySender, wake: Receiver<()>) {
         self.pump(&feed, &wake).await;
         self.shared.batch().detach(self.id, self.attempt);
     }
 
-    async fn pump(&mut self, feed: &BodyFeed, wake: &Receiver<()>) {
+    async fn pump(&mut self, feed: &BodySender, wake: &Receiver<()>) {
         loop {
             let woken = std::pin::pin!(wake.recv());
             let closed = std::pin::pin!(feed.closed());
--- a/crates/hollyhook_wire/src/api/caller_client.rs
+++ b/crates/hollyhook_wire/src/api/caller_client.rs
@@ -85,12 +85,12 @@
         path: &str,
         body: Option<&Value>,
         fields: &[(&str, &str)],
-    ) -> Result<CallerAnswer> {
+    ) -> Result<CallerResponse> {
         let mut answer = self.send(method, path, body, fields).await?;
         let bytes = answer.response.body_bytes().await.map_err(|error| broken(&error))?;
         let retry_after = header(&answer.response, "retry-after").and_then(|text| text.parse().ok());
         let value = serde_json::from_slice(&bytes).unwrap_or_default();
-        Ok(CallerAnswer { status: answer.response.status().into(), retry_after, value })
+        Ok(CallerResponse { status: answer.response.status().into(), retry_after, value })
     }
 
     async fn send(
@@ -115,7 +115,7 @@
 
 /// A whole answer.
 #[derive(Debug, Clone, PartialEq)]
-pub struct CallerAnswer {
+pub struct CallerResponse {
     /// The HTTP status.
     pub status: u16,
     /// Seconds of the `Retry-After` field.
--- a/crates/hollyhook_wire/src/api/caller_request.rs
+++ b/crates/hollyhook_wire/src/api/caller_request.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestLimits {
     /// Tokens of prompt and output together.
-    pub context: u64,
+    pub context_tokens: u64,
 }
 
 /// A generation request that was checked; the body goes on to the endpoint as the caller wrote it.
@@ -103,13 +103,13 @@
     /// `ContextTooLong` if prompt and output do not fit.
     pub fn check(&self, limits: RequestLimits) -> Result<()> {
         let prompt = self.prompt_tokens();
-        if prompt + self.max_tokens <= limits.context {
+        if prompt + self.max_tokens <= limits.context_tokens {
             return Ok(());
         }
         let message = format!(
             "the prompt has {prompt} tokens and asks for {} more, but the model `{}` has a context of {}; shorten the \
              prompt or lower `max_tokens`",
-            self.max_tokens, self.model, limits.context
+            self.max_tokens, self.model, limits.context_tokens
         );
         Err(Error::new(ErrorKind::ContextTooLong, message).param("max_tokens"))
     }
--- a/crates/hollyhook_wire/src/api/engine_client.rs
+++ b/crates/hollyhook_wire/src/api/engine_client.rs
@@ -95,7 +95,7 @@
 
     /// Asks, on a new connection and for up to `limit`, what the endpoint holds of a generation.
     pub async fn probe(&self, address: SocketAddr, generation: GenerationId, limit: Duration) -> ProbeReport {
-        match self.find(address, generation, limit).await {
+        match self.generation_state(address, generation, limit).await {
             Ok(Some(state)) => ProbeReport::Holds { produced: state.produced, is_finished: state.is_finished },
             Ok(None) => ProbeReport::Lives,
             Err(_) => ProbeReport::Dead,
@@ -107,7 +107,7 @@
     /// # Errors
     ///
     /// `NotRun` or `OutcomeUnknown` if no answer came within `limit`.
-    pub async fn find(
+    pub async fn generation_state(
         &self,
         address: SocketAddr,
         generation: GenerationId,
@@ -173,12 +173,12 @@
 }
 
 /// The field of a stream's head that carries an engine's load, as JSON.
-pub const LOAD_FIELD: &str = "x-engine-load";
+pub const LOAD_HEADER: &str = "x-engine-load";
 
 impl EngineStream {
     /// What the endpoint said of itself with the stream, if it did.
     pub fn load(&self) -> Option<EngineLoad> {
-        let field = self.answer.response.header(LOAD_FIELD)?;
+        let field = self.answer.response.header(LOAD_HEADER)?;
         serde_json::from_str(field.as_str()).ok()
     }
 
@@ -191,7 +191,7 @@
     /// # Errors
     ///
     /// As for [`next`](Self::next).
-    pub fn ready(&mut self) -> Option<Result<StreamItem>> {
+    pub fn next_buffered(&mut self) -> Option<Result<StreamItem>> {
         while let Some(event) = self.parser.next_event() {
             if let Some(item) = self.take(&event).transpose() {
                 return Some(item);
@@ -208,7 +208,7 @@
     pub async fn next(&mut self) -> Result<StreamItem> {
         const PIECE: usize = 2_048;
         loop {
-            if let Some(item) = self.ready() {
+            if let Some(item) = self.next_buffered() {
                 return item;
             }
             if self.parser.is_overfull() {
--- a/crates/hollyhook_wire/src/api/mod.rs
+++ b/crates/hollyhook_wire/src/api/mod.rs
@@ -8,11 +8,11 @@
 mod stream_writer;
 
 pub use api_error::{ApiError, ApiErrorBody};
-pub use caller_client::{CallerAnswer, CallerClient, CallerItem, CallerStream, completion_body};
+pub use caller_client::{CallerClient, CallerItem, CallerResponse, CallerStream, completion_body};
 pub use caller_request::{ApiStyle, CallerRequest, RequestLimits};
 pub use engine_api::{
     ChunkChoice, ChunkDelta, EngineChunk, EngineExtension, EngineLoad, EngineUsage, EngineWork, GenerationState,
 };
-pub use engine_client::{EngineClient, EngineStream, LOAD_FIELD, StreamItem};
+pub use engine_client::{EngineClient, EngineStream, LOAD_HEADER, StreamItem};
 pub(crate) use engine_client::{decode, request_to};
-pub use stream_writer::{StreamWriter, WholeAnswer};
+pub use stream_writer::{CompletionResponse, StreamWriter};
--- a/crates/hollyhook_wire/src/api/stream_writer.rs
+++ b/crates/hollyhook_wire/src/api/stream_writer.rs
@@ -82,7 +82,7 @@
 
 /// The whole answer of a request that does not stream.
 #[derive(Debug)]
-pub struct WholeAnswer<'a> {
+pub struct CompletionResponse<'a> {
     /// The call.
     pub style: ApiStyle,
     /// The generation.
@@ -99,7 +99,7 @@
     pub usage: EngineUsage,
 }
 
-impl WholeAnswer<'_> {
+impl CompletionResponse<'_> {
     /// The answer as JSON text.
     ///
     /// # Panics
--- a/crates/hollyhook_wire/src/http/body_feed.rs
+++ b/crates/hollyhook_wire/src/http/body_feed.rs
@@ -10,11 +10,11 @@
 
 /// The sending end of a body that is produced piece by piece.
 #[derive(Debug, Clone)]
-pub struct BodyFeed {
+pub struct BodySender {
     sender: Sender<Vec<u8>>,
 }
 
-impl BodyFeed {
+impl BodySender {
     /// Sends a piece; waits while the receiver is behind by the whole buffer.
     ///
     /// Returns whether the receiver is still there.
@@ -34,10 +34,10 @@
 }
 
 /// A body of unknown length and the feed that fills it, with room for `capacity` pieces.
-pub fn feed_body(capacity: usize) -> (BodyFeed, Body) {
+pub fn body_channel(capacity: usize) -> (BodySender, Body) {
     let (sender, receiver) = async_channel::bounded(capacity);
     let reader = FeedReader { pieces: Box::pin(receiver), piece: Vec::new(), used: 0 };
-    (BodyFeed { sender }, Body::from_reader(reader, None))
+    (BodySender { sender }, Body::from_reader(reader, None))
 }
 
 /// Reads a whole body of up to `limit` bytes.
--- a/crates/hollyhook_wire/src/http/connection_gate.rs
+++ b/crates/hollyhook_wire/src/http/connection_gate.rs
@@ -50,12 +50,12 @@
     }
 
     /// Waits until [`drain`](Self::drain) is called.
-    pub async fn draining(&self) {
+    pub async fn wait_draining(&self) {
         let _closed = self.inner.drain.recv().await;
     }
 
     /// Waits until the gate is closed and every request has ended.
-    pub async fn idle(&self) {
+    pub async fn wait_idle(&self) {
         let _closed = self.inner.idle.recv().await;
     }
 
--- a/crates/hollyhook_wire/src/http/http_server.rs
+++ b/crates/hollyhook_wire/src/http/http_server.rs
@@ -119,7 +119,7 @@
         let handler = Arc::new(handler);
         loop {
             let accept = std::pin::pin!(self.listener.accept());
-            let drain = std::pin::pin!(self.gate.draining());
+            let drain = std::pin::pin!(self.gate.wait_draining());
             match select(accept, drain).await {
                 Either::Left((Ok((stream, _peer)), _)) => self.spawn(stream, Arc::clone(&handler)),
                 // Out of descriptors, most likely; the connections that are open go on.
@@ -175,7 +175,7 @@
     let guard = GuardedStream::new(stream, limits.read_timeout, limits.write_timeout);
     loop {
         let head = std::pin::pin!(guard.next_head(limits.head_bytes, limits.idle_timeout));
-        let drain = std::pin::pin!(gate.draining());
+        let drain = std::pin::pin!(gate.wait_draining());
         let head = match select(head, drain).await {
             Either::Left((head, _)) => head,
             Either::Right(((), _)) => return,
--- a/crates/hollyhook_wire/src/http/mod.rs
+++ b/crates/hollyhook_wire/src/http/mod.rs
@@ -7,7 +7,7 @@
 mod http_server;
 mod request_head;
 
-pub use body_feed::{BodyFeed, feed_body, read_body};
+pub use body_feed::{BodySender, body_channel, read_body};
 pub use connection_gate::ConnectionGate;
 pub use http_client::{ClientAnswer, HttpClient};
 pub use http_server::{HttpServer, ServerLimits, listen};
--- a/crates/hollyhook_wire/src/lib.rs
+++ b/crates/hollyhook_wire/src/lib.rs
@@ -8,12 +8,12 @@
 mod sse;
 
 pub use api::{
-    ApiError, ApiErrorBody, ApiStyle, CallerAnswer, CallerClient, CallerItem, CallerRequest, CallerStream, ChunkChoice,
-    ChunkDelta, EngineChunk, EngineClient, EngineExtension, EngineLoad, EngineStream, EngineUsage, EngineWork,
-    GenerationState, LOAD_FIELD, RequestLimits, StreamItem, StreamWriter, WholeAnswer, completion_body,
+    ApiError, ApiErrorBody, ApiStyle, CallerClient, CallerItem, CallerRequest, CallerResponse, CallerStream,
+    ChunkChoice, ChunkDelta, CompletionResponse, EngineChunk, EngineClient, EngineExtension, EngineLoad, EngineStream,
+    EngineUsage, EngineWork, GenerationState, LOAD_HEADER, RequestLimits, StreamItem, StreamWriter, completion_body,
 };
 pub use http::{
-    BodyFeed, ClientAnswer, ConnectionGate, HttpClient, HttpServer, ServerLimits, feed_body, listen, read_body,
+    BodySender, ClientAnswer, ConnectionGate, HttpClient, HttpServer, ServerLimits, body_channel, listen, read_body,
 };
 pub use peer::{
     CounterRow, EndpointRow, HistogramRow, HostReport, PeerCallsClient, PeerServer, StatusReport, connect_peer,
