--- a/crates/hollyhook_kernel/src/lib.rs
+++ b/crates/hollyhook_kernel/src/lib.rs
@@ -1,6 +1,6 @@
-//! The micro-kernel: services registered under a name, found by name, with messages between them.
+//! The microkernel: a registry of services by name, mailboxes for messages between services, and the timer service.
 //!
-//! The [`TimerService`] is one of them; tests register a virtual one that moves only when told to.
+//! Tests can register a [`TimerService`] with a [`VirtualClock`], which advances only when the test advances it.
 
 mod registry;
 mod timer;
--- a/crates/hollyhook_kernel/src/registry/mailbox.rs
+++ b/crates/hollyhook_kernel/src/registry/mailbox.rs
@@ -1,7 +1,7 @@
 use async_channel::{Receiver, Sender, TrySendError};
 use hollyhook_core::{Error, ErrorKind, Name};
 
-/// The way to send messages of one type to a service.
+/// The sending end of a bounded channel of messages to a service.
 #[derive(Debug)]
 pub struct Mailbox<M> {
     name: Name,
@@ -9,24 +9,24 @@
 }
 
 impl<M> Mailbox<M> {
-    /// A mailbox for the service of that name that holds up to `capacity` messages, and the service's end of it.
+    /// Creates a mailbox for up to `capacity` messages to the service `name`, and the receiver for that service.
     pub fn bounded(name: impl Into<Name>, capacity: usize) -> (Self, Receiver<M>) {
         let (sender, receiver) = async_channel::bounded(capacity);
         (Self { name: name.into(), sender }, receiver)
     }
 
-    /// Sends without waiting.
+    /// Sends a message without waiting.
     ///
     /// # Errors
     ///
-    /// `Overloaded` if the mailbox is full, `Draining` if the service has stopped; the message is dropped.
+    /// `Overloaded` if the mailbox is full, `Draining` if the service has dropped its receiver. The message is dropped.
     pub fn post(&self, message: M) -> Result<(), Error> {
         self.sender.try_send(message).map_err(|error| {
-            let (kind, what) = match error {
+            let (kind, state) = match error {
                 TrySendError::Full(_) => (ErrorKind::Overloaded, "is full"),
                 TrySendError::Closed(_) => (ErrorKind::Draining, "is closed"),
             };
-            Error::new(kind, format!("the mailbox of the service `{}` {what}", self.name))
+            Error::new(kind, format!("the mailbox of the service `{}` {state}", self.name))
         })
     }
 }
--- a/crates/hollyhook_kernel/src/registry/mod.rs
+++ b/crates/hollyhook_kernel/src/registry/mod.rs
@@ -1,4 +1,4 @@
-//! Finding services by name and sending them messages.
+//! A registry of services by name, and mailboxes for messages to services.
 
 mod mailbox;
 mod service_registry;
--- a/crates/hollyhook_kernel/src/registry/service_registry.rs
+++ b/crates/hollyhook_kernel/src/registry/service_registry.rs
@@ -25,11 +25,11 @@
 }
 
 impl ServiceRegistry {
-    /// Registers a service and returns it as others will find it.
+    /// Registers a service and returns a shared handle to it.
     ///
     /// # Errors
     ///
-    /// `Conflict` if the name is taken.
+    /// `Conflict` if a service is registered under the name already.
     pub fn register<S: Send + Sync + 'static>(&self, name: impl Into<Name>, service: S) -> Result<Arc<S>> {
         let name = name.into();
         let service = Arc::new(service);
@@ -42,24 +42,24 @@
         Ok(service)
     }
 
-    /// Finds a service.
+    /// Finds a service by its name and type.
     ///
     /// # Errors
     ///
-    /// `Internal` if no service has the name, or it is of another type.
+    /// `Internal` if no service has the name, or the service is of another type.
     pub fn find<S: Send + Sync + 'static>(&self, name: &str) -> Result<Arc<S>> {
         let services = self.services.read().unwrap_or_else(PoisonError::into_inner);
         let handle = services
             .get(name)
             .map(Arc::clone)
             .ok_or_else(|| Error::new(ErrorKind::Internal, format!("no service is named `{name}`")))?;
-        handle.downcast::<S>().map_err(|_other| {
-            let wanted = std::any::type_name::<S>();
-            Error::new(ErrorKind::Internal, format!("the service `{name}` is not a `{wanted}`"))
+        handle.downcast::<S>().map_err(|_handle| {
+            let expected = std::any::type_name::<S>();
+            Error::new(ErrorKind::Internal, format!("the service `{name}` is not a `{expected}`"))
         })
     }
 
-    /// The names in order.
+    /// The names of all services in ascending order.
     pub fn names(&self) -> Vec<Name> {
         let services = self.services.read().unwrap_or_else(PoisonError::into_inner);
         services.keys().map(Name::clone).collect()
--- a/crates/hollyhook_kernel/src/timer/clock.rs
+++ b/crates/hollyhook_kernel/src/timer/clock.rs
@@ -6,30 +6,32 @@
 use hollyhook_core::TimePoint;
 use rustix::time::{ClockId, clock_gettime};
 
-/// The longest sleep of a wait. Sleeps don't count the time for which a machine is suspended, and the clock does: a host
-/// that wakes notices after this long that its time was up meanwhile, rather than after all that was left. At a second, a
-/// call to the store that was under way ends 1 s after the wake, not up to 2.75 s after it.
-const LONGEST_SLEEP: Duration = Duration::from_secs(1);
+/// The maximum duration of a single sleep within a wait.
+///
+/// Sleeps don't count the time for which the machine is suspended, but the clock does. After a resume, a wait whose
+/// deadline has passed therefore ends within this duration rather than after all the time that was left: a call to the
+/// store that was under way times out 1 s after the resume instead of up to 2.75 s after it.
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// The clock of the machine.
+/// The monotonic clock of the machine, which counts the time for which the machine is suspended.
 ///
-/// It goes on while the machine is suspended, unlike the standard library's `Instant`: a host that wakes must know
-/// that its deadlines and what it believed of others are old.
+/// The standard library's `Instant` does not count this time. A host that resumes must know that its deadlines have passed
+/// and that its information on other processes is out of date.
 #[derive(Debug, Clone, Copy)]
 pub struct SystemClock {
     start: Duration,
-    /// The time since the machine's start.
+    /// Returns the time since the machine booted.
     source: fn() -> Duration,
 }
 
 impl SystemClock {
-    /// A clock that starts now.
+    /// Creates a clock that starts at zero now.
     pub fn start() -> Self {
-        Self::reading(since_boot)
+        Self::with_source(since_boot)
     }
 
-    /// A clock that starts now and tells the time since the machine's start by `source`.
-    pub fn reading(source: fn() -> Duration) -> Self {
+    /// Creates a clock that starts at zero now and obtains the time since the machine booted from `source`.
+    pub fn with_source(source: fn() -> Duration) -> Self {
         Self { start: source(), source }
     }
 
@@ -40,8 +42,8 @@
     pub(super) async fn wait_until(self, at: TimePoint) {
         loop {
             let left = at.since(self.now());
-            async_io::Timer::after(left.min(LONGEST_SLEEP)).await;
-            if left <= LONGEST_SLEEP {
+            async_io::Timer::after(left.min(MAX_SLEEP)).await;
+            if left <= MAX_SLEEP {
                 return;
             }
         }
@@ -57,29 +59,29 @@
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec.unsigned_abs() as u32)
 }
 
-/// A clock that moves only when told to.
+/// A clock for tests that moves only by [`advance`](Self::advance).
 #[derive(Debug, Clone, Default)]
 pub struct VirtualClock {
-    state: Arc<Mutex<VirtualState>>,
+    state: Arc<Mutex<ClockState>>,
 }
 
 #[derive(Debug, Default)]
-struct VirtualState {
+struct ClockState {
     now: TimePoint,
-    waits: BTreeMap<TimePoint, Vec<Sender<()>>>,
+    waiters: BTreeMap<TimePoint, Vec<Sender<()>>>,
 }
 
 impl VirtualClock {
-    /// Moves the clock and wakes everyone whose time has come, earliest first.
+    /// Advances the clock and ends the waits whose time has been reached, earliest first.
     pub fn advance(&self, span: Duration) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.now = state.now + span;
         let now = state.now;
-        while let Some(entry) = state.waits.first_entry() {
+        while let Some(entry) = state.waiters.first_entry() {
             if *entry.key() > now {
                 break;
             }
-            // Dropping the senders wakes the receivers.
+            // Dropping the senders ends the waits of the receivers.
             drop(entry.remove());
         }
     }
@@ -92,17 +94,18 @@
         let Some(receiver) = self.subscribe(at) else {
             return;
         };
-        // Ends with an error when the sender is dropped, which is the wake.
-        let _woken = receiver.recv().await;
+        // `recv` returns an error when `advance` drops the sender; nothing is sent.
+        let _closed = receiver.recv().await;
     }
 
+    /// Registers a wait until `at`; returns `None` if that time has been reached already.
     fn subscribe(&self, at: TimePoint) -> Option<Receiver<()>> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         if at <= state.now {
             return None;
         }
         let (sender, receiver) = async_channel::bounded(1);
-        state.waits.entry(at).or_default().push(sender);
+        state.waiters.entry(at).or_default().push(sender);
         Some(receiver)
     }
 }
--- a/crates/hollyhook_kernel/src/timer/mod.rs
+++ b/crates/hollyhook_kernel/src/timer/mod.rs
@@ -1,4 +1,4 @@
-//! Time as a service that parts subscribe to, real or virtual.
+//! A timer service with a real or a virtual clock.
 
 mod clock;
 mod timer_service;
--- a/crates/hollyhook_kernel/src/timer/timer_service.rs
+++ b/crates/hollyhook_kernel/src/timer/timer_service.rs
@@ -5,7 +5,7 @@
 
 use super::{SystemClock, VirtualClock};
 
-/// The time, and waiting for it, for every part of a process.
+/// Provides the current time, waits and timeouts to a whole process.
 ///
 /// ```
 /// use hollyhook_kernel::{TimerService, VirtualClock};
@@ -23,44 +23,44 @@
 
 #[derive(Debug, Clone)]
 enum ClockSource {
-    Wall(SystemClock),
+    System(SystemClock),
     Virtual(VirtualClock),
 }
 
 impl TimerService {
-    /// The name that the service is registered under.
+    /// The name under which the service is registered.
     pub const NAME: &'static str = "timer";
 
-    /// The time since the clock's start.
+    /// The time since the clock started.
     pub fn now(&self) -> TimePoint {
         match &self.source {
-            ClockSource::Wall(clock) => clock.now(),
+            ClockSource::System(clock) => clock.now(),
             ClockSource::Virtual(clock) => clock.now(),
         }
     }
 
-    /// The time of day in Unix seconds; under a virtual clock, seconds since its start.
+    /// The current Unix time in seconds; with a virtual clock, the seconds since the clock started.
     pub fn unix_secs(&self) -> u64 {
         match &self.source {
-            ClockSource::Wall(_) => SystemClock::unix_secs(),
+            ClockSource::System(_) => SystemClock::unix_secs(),
             ClockSource::Virtual(clock) => clock.now().as_micros() / 1_000_000,
         }
     }
 
-    /// Waits until that time, or returns at once if it is past.
+    /// Waits until the time `at`; does not wait if that time has passed.
     pub async fn wait_until(&self, at: TimePoint) {
         match &self.source {
-            ClockSource::Wall(clock) => clock.wait_until(at).await,
+            ClockSource::System(clock) => clock.wait_until(at).await,
             ClockSource::Virtual(clock) => clock.wait_until(at).await,
         }
     }
 
-    /// Waits that long.
+    /// Waits for the duration `span`.
     pub async fn wait(&self, span: Duration) {
         self.wait_until(self.now() + span).await;
     }
 
-    /// The outcome of `work`, or `None` if it takes longer than `span`; the work is dropped then.
+    /// Runs `work` for up to `span`; returns its output, or drops it and returns `None` if it takes longer.
     pub async fn within<T>(&self, span: Duration, work: impl Future<Output = T>) -> Option<T> {
         let work = std::pin::pin!(work);
         let limit = std::pin::pin!(self.wait(span));
@@ -73,7 +73,7 @@
 
 impl From<SystemClock> for TimerService {
     fn from(clock: SystemClock) -> Self {
-        Self { source: ClockSource::Wall(clock) }
+        Self { source: ClockSource::System(clock) }
     }
 }
 
--- a/crates/hollyhook_wire/src/api/api_error.rs
+++ b/crates/hollyhook_wire/src/api/api_error.rs
@@ -2,26 +2,26 @@
 use http_types::{Response, StatusCode};
 use serde::{Deserialize, Serialize};
 
-/// The error object of the API, with what hollyhook adds.
+/// The error object of the API with hollyhook's additional fields `run` and `retry_after_ms`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApiError {
-    /// What a person should know.
+    /// The message for people.
     pub message: Name,
-    /// The broad class, as the API names it.
+    /// The error class of the API.
     #[serde(rename = "type")]
     pub class: Name,
-    /// The field, header or setting that it is about.
+    /// The request field, header or setting that the error concerns, if any.
     pub param: Option<Name>,
-    /// The kind, from hollyhook's closed list.
+    /// The error code, from hollyhook's fixed list.
     pub code: Name,
-    /// How far the request got.
+    /// How far the request got before the error.
     pub run: RunState,
-    /// When to come back, in milliseconds.
+    /// The delay before a retry, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
-/// The body of an answer that refuses.
+/// The body of an error response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApiErrorBody {
     /// The error object.
@@ -33,17 +33,17 @@
     ///
     /// # Panics
     ///
-    /// Never: the object has nothing that JSON can't hold.
+    /// Never: every field can be represented in JSON.
     pub fn to_json(&self) -> String {
-        serde_json::to_string(self).expect("an error object is JSON")
+        serde_json::to_string(self).expect("an error object should serialize to JSON")
     }
 
-    /// The whole answer for an error.
+    /// The complete HTTP response for an error.
     pub fn response(error: &Error) -> Response {
         let status = StatusCode::try_from(error.answer().status).unwrap_or(StatusCode::InternalServerError);
         let mut response = Response::new(status);
         if let Some(span) = error.get_retry_after() {
-            // The header counts whole seconds; rounding down would call the caller back too early.
+            // The header has whole seconds. Rounding down would let the caller retry too early.
             let seconds = span.as_secs() + u64::from(span.subsec_nanos() > 0);
             response.insert_header("retry-after", seconds.max(1).to_string());
         }
--- a/crates/hollyhook_wire/src/api/caller_client.rs
+++ b/crates/hollyhook_wire/src/api/caller_client.rs
@@ -8,10 +8,10 @@
 
 use super::engine_client::request_to;
 use super::{ApiErrorBody, ApiStyle};
-use crate::http::{ClientAnswer, HttpClient};
+use crate::http::{ClientResponse, HttpClient};
 use crate::sse::SseParser;
 
-/// Calls hollyhook as any caller does: for the demo, the load tool and the tests.
+/// A client of the callers' API, for the demo, the load tool and the tests.
 #[derive(Debug, Clone)]
 pub struct CallerClient {
     http: HttpClient,
@@ -19,78 +19,81 @@
     key: Name,
 }
 
-/// What a stream brings its caller.
+/// An item of a caller's stream.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallerItem {
     /// A token.
     Token {
-        /// The cursor behind it.
+        /// The cursor that resumes the stream behind this token.
         cursor: String,
-        /// Its text.
+        /// The token's text.
         text: String,
     },
-    /// The reason that the generation ended with.
+    /// The end of a complete generation, with its finish reason.
     End(String),
-    /// The truthful end of a generation that is not whole.
+    /// The error that ends an incomplete generation.
     Failed(ApiErrorBody),
-    /// The mark behind a whole answer.
+    /// The `[DONE]` mark after a complete generation.
     Done,
 }
 
-/// A generation request's body in its simplest form.
+/// The minimal body of a completion request.
 pub fn completion_body(model: &str, prompt: &str, max_tokens: u64, is_stream: bool) -> Value {
     serde_json::json!({"model": model, "prompt": prompt, "max_tokens": max_tokens, "stream": is_stream})
 }
 
 impl CallerClient {
-    /// A client of the daemon at that address, with an API key.
+    /// Creates a client of the daemon at `address` that sends `key` as its API key.
     pub fn new(address: SocketAddr, key: impl Into<Name>) -> Self {
         Self { http: HttpClient::new(Duration::from_secs(2)), address, key: key.into() }
     }
 
-    /// The same client at another host.
+    /// Sets the address of the daemon.
     #[must_use]
     pub fn at(mut self, address: SocketAddr) -> Self {
         self.address = address;
         self
     }
 
-    /// Opens a stream; `fields` are more header fields. The inner error is the refusal.
+    /// Sends a generation request, with `headers` as additional header fields, and opens its stream.
+    ///
+    /// The inner error is the host's error response.
     ///
     /// # Errors
     ///
-    /// `NotRun` or `OutcomeUnknown` if the host could not be reached or the connection broke.
+    /// `NotRun` if the host could not be reached; `OutcomeUnknown` if the connection failed or the error response is not
+    /// valid.
     pub async fn stream(
         &self,
         style: ApiStyle,
         body: &Value,
-        fields: &[(&str, &str)],
+        headers: &[(&str, &str)],
     ) -> Result<std::result::Result<CallerStream, ApiErrorBody>> {
-        let mut answer = self.send(Method::Post, style.path(), Some(body), fields).await?;
-        if answer.response.status().is_success() {
-            return Ok(Ok(CallerStream { answer, parser: SseParser::default() }));
+        let mut response = self.send(Method::Post, style.path(), Some(body), headers).await?;
+        if response.inner.status().is_success() {
+            return Ok(Ok(CallerStream { response, parser: SseParser::default() }));
         }
-        let bytes = answer.response.body_bytes().await.map_err(|error| broken(&error))?;
-        serde_json::from_slice(&bytes).map(Err).map_err(|error| broken(&error))
+        let bytes = response.inner.body_bytes().await.map_err(|error| stream_error(&error))?;
+        serde_json::from_slice(&bytes).map(Err).map_err(|error| stream_error(&error))
     }
 
-    /// Makes one call and waits for the whole answer.
+    /// Sends a request, with `headers` as additional header fields, and waits for the complete response.
     ///
     /// # Errors
     ///
-    /// `NotRun` or `OutcomeUnknown` if the host could not be reached or the connection broke.
+    /// `NotRun` if the host could not be reached, `OutcomeUnknown` if the connection failed.
     pub async fn call(
         &self,
         method: Method,
         path: &str,
         body: Option<&Value>,
-        fields: &[(&str, &str)],
+        headers: &[(&str, &str)],
     ) -> Result<CallerResponse> {
-        let mut answer = self.send(method, path, body, fields).await?;
-        let bytes = answer.response.body_bytes().await.map_err(|error| broken(&error))?;
-        let retry_after = header(&answer.response, "retry-after").and_then(|text| text.parse().ok());
+        let mut response = self.send(method, path, body, headers).await?;
+        let bytes = response.inner.body_bytes().await.map_err(|error| stream_error(&error))?;
+        let retry_after = header(&response.inner, "retry-after").and_then(|text| text.parse().ok());
         let value = serde_json::from_slice(&bytes).unwrap_or_default();
-        Ok(CallerResponse { status: answer.response.status().into(), retry_after, value })
+        Ok(CallerResponse { status: response.inner.status().into(), retry_after, value })
     }
 
     async fn send(
@@ -98,77 +101,77 @@
         method: Method,
         path: &str,
         body: Option<&Value>,
-        fields: &[(&str, &str)],
-    ) -> Result<ClientAnswer> {
+        headers: &[(&str, &str)],
+    ) -> Result<ClientResponse> {
         let mut request = request_to(method, self.address, path)?;
         request.insert_header("authorization", format!("Bearer {}", self.key));
         if let Some(body) = body {
             request.set_body(body.to_string());
             request.set_content_type(http_types::mime::JSON);
         }
-        for (name, value) in fields {
+        for (name, value) in headers {
             request.insert_header(*name, *value);
         }
         self.http.send(self.address, request).await
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallerResponse {
     /// The HTTP status.
     pub status: u16,
-    /// Seconds of the `Retry-After` field.
+    /// The delay of the `Retry-After` header in seconds.
     pub retry_after: Option<u64>,
-    /// The body, if it is JSON.
+    /// The body; null if the body is not JSON.
     pub value: Value,
 }
 
-/// A caller's stream; its connection is cut when this is dropped.
+/// A caller's stream; dropping it shuts its connection down.
 #[derive(Debug)]
 pub struct CallerStream {
-    answer: ClientAnswer,
+    response: ClientResponse,
     parser: SseParser,
 }
 
 impl CallerStream {
-    /// The identity that the host gave the request.
+    /// The request ID that the host assigned.
     pub fn request_id(&self) -> Option<&str> {
-        header(&self.answer.response, "x-request-id")
+        header(&self.response.inner, "x-request-id")
     }
 
     /// Waits for the next item.
     ///
     /// # Errors
     ///
-    /// `OutcomeUnknown` if the connection ended or broke.
+    /// `OutcomeUnknown` if the stream ended early, the connection failed or an event is not valid.
     pub async fn next(&mut self) -> Result<CallerItem> {
-        const PIECE: usize = 4_096;
+        const CHUNK_BYTES: usize = 4_096;
         loop {
             while let Some(event) = self.parser.next_event() {
-                if let Some(item) = read_item(event.id, &event.data)? {
+                if let Some(item) = parse_item(event.id, &event.data)? {
                     return Ok(item);
                 }
             }
-            let mut piece = [0; PIECE];
-            match self.answer.response.read(&mut piece).await {
-                Ok(0) => return Err(broken(&"it ended without its end mark")),
-                Ok(count) => self.parser.feed(&piece[..count]),
-                Err(error) => return Err(broken(&error)),
+            let mut chunk = [0; CHUNK_BYTES];
+            match self.response.inner.read(&mut chunk).await {
+                Ok(0) => return Err(stream_error(&"it ended without `[DONE]`")),
+                Ok(count) => self.parser.feed(&chunk[..count]),
+                Err(error) => return Err(stream_error(&error)),
             }
         }
     }
 }
 
-fn read_item(id: Option<String>, data: &str) -> Result<Option<CallerItem>> {
+fn parse_item(id: Option<String>, data: &str) -> Result<Option<CallerItem>> {
     if data == "[DONE]" {
         return Ok(Some(CallerItem::Done));
     }
-    let value: Value = serde_json::from_str(data).map_err(|error| broken(&error))?;
+    let value: Value = serde_json::from_str(data).map_err(|error| stream_error(&error))?;
     if value.get("error").is_some() {
         return serde_json::from_value(value)
             .map(|body| Some(CallerItem::Failed(body)))
-            .map_err(|error| broken(&error));
+            .map_err(|error| stream_error(&error));
     }
     let choice = &value["choices"][0];
     if let Some(reason) = choice["finish_reason"].as_str() {
@@ -185,6 +188,6 @@
     response.header(name).map(|values| values.as_str())
 }
 
-fn broken(what: &dyn std::fmt::Display) -> Error {
-    Error::new(ErrorKind::OutcomeUnknown, format!("the answer broke off: {what}"))
+fn stream_error(detail: &dyn std::fmt::Display) -> Error {
+    Error::new(ErrorKind::OutcomeUnknown, format!("the response of the host is incomplete or invalid: {detail}"))
 }
--- a/crates/hollyhook_wire/src/api/caller_request.rs
+++ b/crates/hollyhook_wire/src/api/caller_request.rs
@@ -2,20 +2,20 @@
 use serde_json::{Map, Value};
 use sha2::{Digest, Sha256};
 
-/// The most tokens that a request gets if it does not say.
+/// The maximum number of output tokens of a request that does not set one.
 const DEFAULT_MAX_TOKENS: u64 = 256;
 
-/// Which of the two generation calls a request came by.
+/// Which of the API's two generation calls a request uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ApiStyle {
-    /// `/v1/completions`, with a prompt.
+    /// `/v1/completions`, whose requests have a `prompt`.
     Completion,
-    /// `/v1/chat/completions`, with messages.
+    /// `/v1/chat/completions`, whose requests have `messages`.
     Chat,
 }
 
 impl ApiStyle {
-    /// The path of the call.
+    /// The URL path of the call.
     pub const fn path(self) -> &'static str {
         match self {
             Self::Completion => "/v1/completions",
@@ -24,40 +24,43 @@
     }
 }
 
-/// What a request may ask for.
+/// The limits that a model sets on its requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// Tokens of prompt and output together.
+    /// The model's context length: the maximum number of prompt and output tokens together.
     pub context_tokens: u64,
 }
 
-/// A generation request that was checked; the body goes on to the endpoint as the caller wrote it.
+/// A validated generation request.
+///
+/// Endpoints receive the body's fields as the caller sent them; `EngineClient::open` changes those that concern streaming
+/// and adds its own.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallerRequest {
-    /// The call.
+    /// The API call.
     pub style: ApiStyle,
     /// The model's name.
     pub model: Name,
-    /// Whether the answer streams.
+    /// Whether the caller requested a stream.
     pub is_stream: bool,
-    /// Whether a stream ends with the usage.
+    /// Whether the stream is to end with the token usage.
     pub has_usage: bool,
-    /// The most tokens of output.
+    /// The maximum number of output tokens.
     pub max_tokens: u64,
-    /// The prompt, or all messages, as one text.
+    /// The prompt, or all messages with their roles, as one text.
     pub prompt: String,
-    /// The label of a franchise or clerk, for reports: the API's `user` field.
+    /// The API's `user` field: a label for reports, such as a franchise or a clerk.
     pub user: Option<Name>,
-    /// The body as it came.
+    /// The body as received.
     pub body: Map<String, Value>,
 }
 
 impl CallerRequest {
-    /// Checks a body.
+    /// Parses and validates a body.
     ///
     /// # Errors
     ///
-    /// `InvalidJson` or `InvalidRequest`, naming the field and what would be right.
+    /// `InvalidJson` or `InvalidRequest`, with the field at fault and what it must be.
     pub fn parse(style: ApiStyle, bytes: &[u8]) -> Result<Self> {
         let body: Value = serde_json::from_slice(bytes).map_err(|error| {
             Error::new(ErrorKind::InvalidJson, format!("the body is not JSON: {error}")).param("body")
@@ -89,18 +92,18 @@
         })
     }
 
-    /// Tokens of the prompt, as the endpoints of this system count them: words.
+    /// The estimated number of prompt tokens: the number of words, which is how the endpoints of this system count tokens.
     ///
-    /// An estimate at the door; the endpoint has the last word.
+    /// It serves to reject requests early; the endpoint's own check decides.
     pub fn prompt_tokens(&self) -> u64 {
         self.prompt.split_whitespace().count() as u64
     }
 
-    /// Checks the request against the limits of its model.
+    /// Checks the request against its model's limits.
     ///
     /// # Errors
     ///
-    /// `ContextTooLong` if prompt and output do not fit.
+    /// `ContextTooLong` if the prompt and the maximum output exceed the context length.
     pub fn check(&self, limits: RequestLimits) -> Result<()> {
         let prompt = self.prompt_tokens();
         if prompt + self.max_tokens <= limits.context_tokens {
@@ -114,7 +117,9 @@
         Err(Error::new(ErrorKind::ContextTooLong, message).param("max_tokens"))
     }
 
-    /// A digest of what the request asks for, so that a cursor or a key can't be used with another request.
+    /// A digest of the call, the model, the maximum number of output tokens and the prompt.
+    ///
+    /// It ties a cursor or an idempotency key to its request, so that neither can be used with a different one.
     pub fn digest(&self) -> u64 {
         let mut hash = Sha256::new();
         hash.update(self.style.path());
@@ -127,6 +132,7 @@
     }
 }
 
+/// Reads typed fields of a JSON object; a null field counts as absent.
 struct FieldReader<'a> {
     body: &'a Map<String, Value>,
 }
@@ -137,10 +143,10 @@
     }
 
     fn text(&self, name: &str) -> Result<Option<&str>> {
-        let text = |value: &'_ Value| value.as_str().is_some();
+        let is_text = |value: &'_ Value| value.as_str().is_some();
         match self.get(name) {
             None => Ok(None),
-            Some(value) if text(value) => Ok(value.as_str()),
+            Some(value) if is_text(value) => Ok(value.as_str()),
             Some(_) => Err(invalid(name, &format!("`{name}` must be a string"))),
         }
     }
@@ -157,8 +163,8 @@
         match self.get(name) {
             None => Ok(None),
             Some(value) => {
-                let wrong = || invalid(name, &format!("`{name}` must be a whole number, not negative"));
-                value.as_u64().map(Some).ok_or_else(wrong)
+                let not_a_count = || invalid(name, &format!("`{name}` must be a whole number, not negative"));
+                value.as_u64().map(Some).ok_or_else(not_a_count)
             }
         }
     }
@@ -171,7 +177,7 @@
         }
     }
 
-    /// What an answer of one resumable stream of tokens can't give is refused, not ignored.
+    /// Rejects options that a single resumable stream of tokens can't satisfy, rather than ignoring them.
     fn refuse_unsupported(&self) -> Result<()> {
         for name in ["n", "best_of"] {
             if self.count(name)?.is_some_and(|number| number != 1) {
@@ -179,12 +185,12 @@
             }
         }
         for name in ["logprobs", "echo", "suffix", "tools", "functions"] {
-            let is_asked = match self.get(name) {
+            let is_set = match self.get(name) {
                 None | Some(Value::Bool(false)) => false,
                 Some(Value::Array(items)) => !items.is_empty(),
                 Some(_) => true,
             };
-            if is_asked {
+            if is_set {
                 return Err(invalid(name, &format!("`{name}` is not supported; leave it out")));
             }
         }
@@ -197,27 +203,30 @@
     }
 
     fn messages(&self) -> Result<String> {
-        let wrong = |what: &str| invalid("messages", what);
+        let invalid_messages = |message: &str| invalid("messages", message);
         let Some(Value::Array(messages)) = self.get("messages") else {
-            return Err(wrong("`messages` is missing: give an array of objects with `role` and `content`"));
+            return Err(invalid_messages("`messages` is missing: give an array of objects with `role` and `content`"));
         };
         if messages.is_empty() {
-            return Err(wrong("`messages` must not be empty"));
+            return Err(invalid_messages("`messages` must not be empty"));
         }
         let mut text = String::new();
         for message in messages {
             let role = message.get("role").and_then(Value::as_str);
-            let role = role.ok_or_else(|| wrong("each message needs a `role` string"))?;
-            let content = message.get("content").ok_or_else(|| wrong("each message needs `content`"))?;
+            let role = role.ok_or_else(|| invalid_messages("each message needs a `role` string"))?;
+            let content = message.get("content").ok_or_else(|| invalid_messages("each message needs `content`"))?;
             text.push_str(role);
             text.push_str(": ");
-            text.push_str(&content_text(content).ok_or_else(|| wrong("`content` must be a string or text parts"))?);
+            text.push_str(
+                &content_text(content).ok_or_else(|| invalid_messages("`content` must be a string or text parts"))?,
+            );
             text.push('\n');
         }
         Ok(text)
     }
 }
 
+/// The text of a message's content, or `None` if the content has another form than a string or text parts.
 fn content_text(content: &Value) -> Option<String> {
     match content {
         Value::String(text) => Some(text.clone()),
--- a/crates/hollyhook_wire/src/api/engine_client.rs
+++ b/crates/hollyhook_wire/src/api/engine_client.rs
@@ -9,49 +9,51 @@
 use serde::de::DeserializeOwned;
 
 use super::{CallerRequest, EngineChunk, EngineExtension, EngineLoad, EngineUsage, EngineWork, GenerationState};
-use crate::http::{ClientAnswer, HttpClient};
+use crate::http::{ClientResponse, HttpClient};
 use crate::sse::{SseEvent, SseParser};
 
-/// Speaks the endpoint API.
+/// A client of the endpoint API.
 #[derive(Debug, Clone)]
 pub struct EngineClient {
     http: HttpClient,
 }
 
-/// What a stream brings.
+/// An item of an endpoint's stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StreamItem {
     /// A token.
     Token {
-        /// Its position, from 0.
+        /// The token's position in the generation, from 0.
         position: u64,
-        /// Its text.
+        /// The token's text.
         text: String,
     },
-    /// The end mark.
+    /// The end of the generation.
     End {
         /// The number of tokens of the whole generation.
         position: u64,
-        /// Why the engine ended.
+        /// Why the generation ended.
         reason: EndReason,
-        /// The usage, if the endpoint gave it.
+        /// The token usage, if the endpoint sent it.
         usage: Option<EngineUsage>,
-        /// The work, if the endpoint gave it.
+        /// The work done for the generation, if the endpoint sent it.
         work: Option<EngineWork>,
     },
 }
 
 impl EngineClient {
-    /// A client that waits that long for a connection.
+    /// Creates a client that waits up to `connect_timeout` for each connection.
     pub const fn new(connect_timeout: Duration) -> Self {
         Self { http: HttpClient::new(connect_timeout) }
     }
 
-    /// Opens an attempt. The inner error is the endpoint's own refusal.
+    /// Opens the stream of an attempt at a generation.
+    ///
+    /// The inner error is the endpoint's refusal.
     ///
     /// # Errors
     ///
-    /// `NotRun` or `OutcomeUnknown` if the connection could not be made or broke.
+    /// `NotRun` if the connection could not be opened, `OutcomeUnknown` if it failed after that.
     pub async fn open(
         &self,
         address: SocketAddr,
@@ -69,14 +71,16 @@
         let mut body = request.body.clone();
         body.insert("stream".to_owned(), true.into());
         body.remove("stream_options");
-        body.insert("hollyhook".to_owned(), serde_json::to_value(extension).map_err(|error| internal(&error))?);
+        body.insert("hollyhook".to_owned(), serde_json::to_value(extension).map_err(|error| decoding_error(&error))?);
         let mut post = request_to(Method::Post, address, request.style.path())?;
-        post.set_body(serde_json::to_vec(&body).map_err(|error| internal(&error))?);
+        post.set_body(serde_json::to_vec(&body).map_err(|error| decoding_error(&error))?);
         post.set_content_type(http_types::mime::JSON);
         self.stream(address, post).await
     }
 
-    /// Attaches to what the endpoint is already producing.
+    /// Opens a stream that attaches an attempt to a generation that the endpoint already holds.
+    ///
+    /// The stream starts at `position`.
     ///
     /// # Errors
     ///
@@ -93,7 +97,7 @@
         self.stream(address, get).await
     }
 
-    /// Asks, on a new connection and for up to `limit`, what the endpoint holds of a generation.
+    /// Probes an endpoint, on a new connection and for up to `limit`, for the state of a generation.
     pub async fn probe(&self, address: SocketAddr, generation: GenerationId, limit: Duration) -> ProbeReport {
         match self.generation_state(address, generation, limit).await {
             Ok(Some(state)) => ProbeReport::Holds { produced: state.produced, is_finished: state.is_finished },
@@ -102,11 +106,13 @@
         }
     }
 
-    /// The state of a generation at an endpoint, if it holds it.
+    /// Fetches the state of a generation at an endpoint.
+    ///
+    /// Returns `None` if the endpoint does not hold the generation, or answers with anything else than a valid state.
     ///
     /// # Errors
     ///
-    /// `NotRun` or `OutcomeUnknown` if no answer came within `limit`.
+    /// `NotRun` if the connection could not be opened, `OutcomeUnknown` if no response arrived within `limit`.
     pub async fn generation_state(
         &self,
         address: SocketAddr,
@@ -118,11 +124,13 @@
         Ok(if status == 200 { decode(&body).ok() } else { None })
     }
 
-    /// Has the work for a generation stopped, unless a newer attempt has taken it over; repeatable.
+    /// Requests that an endpoint stop a generation, unless a newer attempt has taken the generation over.
+    ///
+    /// The request may be repeated. A response with any status counts as success.
     ///
     /// # Errors
     ///
-    /// `NotRun` or `OutcomeUnknown` if no answer came within `limit`.
+    /// `NotRun` if the connection could not be opened, `OutcomeUnknown` if no response arrived within `limit`.
     pub async fn cancel(
         &self,
         address: SocketAddr,
@@ -135,25 +143,27 @@
         self.http.fetch(address, delete, limit).await.map(|_answer| ())
     }
 
-    /// Asks for the endpoint's load.
+    /// Fetches an endpoint's load.
     ///
     /// # Errors
     ///
-    /// `NotRun` or `OutcomeUnknown` if no answer came within `limit`, `Internal` if it is not understood.
+    /// `NotRun` if the connection could not be opened, `OutcomeUnknown` if no response arrived within `limit`, `Internal`
+    /// if the response is not valid.
     pub async fn load(&self, address: SocketAddr, limit: Duration) -> Result<EngineLoad> {
         let get = request_to(Method::Get, address, "/v1/load")?;
         let (_status, body) = self.http.fetch(address, get, limit).await?;
         decode(&body)
     }
 
+    /// Opens a stream; the inner error is the endpoint's refusal.
     async fn stream(
         &self,
         address: SocketAddr,
         request: Request,
     ) -> Result<std::result::Result<EngineStream, EndpointRefusal>> {
-        let answer = self.http.send(address, request).await?;
-        let refusal = match answer.response.status() {
-            StatusCode::Ok => return Ok(Ok(EngineStream::new(answer))),
+        let response = self.http.send(address, request).await?;
+        let refusal = match response.inner.status() {
+            StatusCode::Ok => return Ok(Ok(EngineStream::new(response))),
             StatusCode::NotFound => EndpointRefusal::NotHeld,
             StatusCode::Conflict => EndpointRefusal::Superseded,
             StatusCode::UnprocessableEntity => EndpointRefusal::Unable,
@@ -164,73 +174,74 @@
     }
 }
 
-/// An endpoint's stream; its connection is cut when this is dropped.
+/// An endpoint's stream; dropping it shuts its connection down.
 #[derive(Debug)]
 pub struct EngineStream {
-    answer: ClientAnswer,
+    response: ClientResponse,
     parser: SseParser,
+    /// The position of the next token, for events without an `id`.
     position: u64,
 }
 
-/// The field of a stream's head that carries an engine's load, as JSON.
+/// The response header of a stream that carries the engine's load as JSON.
 pub const LOAD_HEADER: &str = "x-engine-load";
 
 impl EngineStream {
-    /// What the endpoint said of itself with the stream, if it did.
+    /// The load that the endpoint sent with the head of the stream, or `None` if the header is absent or not valid.
     pub fn load(&self) -> Option<EngineLoad> {
-        let field = self.answer.response.header(LOAD_HEADER)?;
+        let field = self.response.inner.header(LOAD_HEADER)?;
         serde_json::from_str(field.as_str()).ok()
     }
 
-    fn new(answer: ClientAnswer) -> Self {
-        Self { answer, parser: SseParser::default(), position: 0 }
+    fn new(response: ClientResponse) -> Self {
+        Self { response, parser: SseParser::default(), position: 0 }
     }
 
-    /// An item that has arrived already, if there is one.
+    /// The next item among the bytes already received, or `None` if they hold no complete item.
     ///
     /// # Errors
     ///
     /// As for [`next`](Self::next).
     pub fn next_buffered(&mut self) -> Option<Result<StreamItem>> {
         while let Some(event) = self.parser.next_event() {
-            if let Some(item) = self.take(&event).transpose() {
+            if let Some(item) = self.parse_event(&event).transpose() {
                 return Some(item);
             }
         }
         None
     }
 
-    /// Waits for the next item; may be dropped and called again without losing one.
+    /// Waits for the next item; cancel-safe, so that no item is lost if the future is dropped.
     ///
     /// # Errors
     ///
-    /// `OutcomeUnknown` if the connection ended or broke, or what came is not understood.
+    /// `OutcomeUnknown` if the stream ended early, the connection failed or an event is not valid.
     pub async fn next(&mut self) -> Result<StreamItem> {
-        const PIECE: usize = 2_048;
+        const CHUNK_BYTES: usize = 2_048;
         loop {
             if let Some(item) = self.next_buffered() {
                 return item;
             }
-            if self.parser.is_overfull() {
-                return Err(broken("an event is longer than any endpoint sends"));
+            if self.parser.is_oversized() {
+                return Err(stream_error("an event is longer than any endpoint sends"));
             }
-            let mut piece = [0; PIECE];
-            match self.answer.response.read(&mut piece).await {
-                Ok(0) => return Err(broken("it ended without the end mark")),
-                Ok(count) => self.parser.feed(&piece[..count]),
-                Err(error) => return Err(broken(&error.to_string())),
+            let mut chunk = [0; CHUNK_BYTES];
+            match self.response.inner.read(&mut chunk).await {
+                Ok(0) => return Err(stream_error("it ended without the end mark")),
+                Ok(count) => self.parser.feed(&chunk[..count]),
+                Err(error) => return Err(stream_error(&error.to_string())),
             }
         }
     }
 
-    fn take(&mut self, event: &SseEvent) -> Result<Option<StreamItem>> {
+    fn parse_event(&mut self, event: &SseEvent) -> Result<Option<StreamItem>> {
         if event.data == "[DONE]" {
             return Ok(None);
         }
-        let chunk: EngineChunk<'_> =
-            serde_json::from_str(&event.data).map_err(|error| broken(&format!("an event is no chunk: {error}")))?;
+        let chunk: EngineChunk<'_> = serde_json::from_str(&event.data)
+            .map_err(|error| stream_error(&format!("an event is no chunk: {error}")))?;
         let position = match &event.id {
-            Some(id) => id.parse().map_err(|_error| broken("an event's id is no position"))?,
+            Some(id) => id.parse().map_err(|_error| stream_error("an event's id is no position"))?,
             None => self.position,
         };
         let Some(choice) = chunk.choices.first() else {
@@ -247,19 +258,21 @@
     }
 }
 
+/// Builds a request without a body.
 pub(crate) fn request_to(method: Method, address: SocketAddr, path: &str) -> Result<Request> {
-    let url = Url::parse(&format!("http://{address}{path}")).map_err(|error| internal(&error))?;
+    let url = Url::parse(&format!("http://{address}{path}")).map_err(|error| decoding_error(&error))?;
     Ok(Request::new(method, url))
 }
 
+/// Decodes a JSON message.
 pub(crate) fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T> {
-    serde_json::from_slice(body).map_err(|error| internal(&error))
+    serde_json::from_slice(body).map_err(|error| decoding_error(&error))
 }
 
-fn internal(error: &dyn std::fmt::Display) -> Error {
+fn decoding_error(error: &dyn std::fmt::Display) -> Error {
     Error::new(ErrorKind::Internal, format!("a message was not understood: {error}"))
 }
 
-fn broken(what: &str) -> Error {
-    Error::new(ErrorKind::OutcomeUnknown, format!("the stream broke: {what}"))
+fn stream_error(detail: &str) -> Error {
+    Error::new(ErrorKind::OutcomeUnknown, format!("the stream broke: {detail}"))
 }
--- a/crates/hollyhook_wire/src/api/mod.rs
+++ b/crates/hollyhook_wire/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! The OpenAI-style API as callers meet it, and the endpoint API that extends it.
+//! The OpenAI-style API that callers use, and the endpoint API that extends it.
 
 mod api_error;
 mod caller_client;
--- a/crates/hollyhook_wire/src/http/body_feed.rs
+++ b/crates/hollyhook_wire/src/http/body_sender.rs
@@ -8,43 +8,44 @@
 use hollyhook_core::{Error, ErrorKind, Result};
 use tide::Body;
 
-/// The sending end of a body that is produced piece by piece.
+/// The sending end of a body that is streamed in chunks; the body ends when every clone of the sender is dropped.
 #[derive(Debug, Clone)]
 pub struct BodySender {
     sender: Sender<Vec<u8>>,
 }
 
 impl BodySender {
-    /// Sends a piece; waits while the receiver is behind by the whole buffer.
+    /// Sends a chunk, waiting while the buffer is full.
     ///
-    /// Returns whether the receiver is still there.
-    pub async fn send(&self, piece: Vec<u8>) -> bool {
-        self.sender.send(piece).await.is_ok()
+    /// Returns `false` if the body has been dropped.
+    pub async fn send(&self, chunk: Vec<u8>) -> bool {
+        self.sender.send(chunk).await.is_ok()
     }
 
-    /// Whether the receiver is gone.
+    /// Whether the body has been dropped.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Waits until the receiver is gone.
+    /// Waits until the body has been dropped.
     pub async fn closed(&self) {
         self.sender.closed().await;
     }
 }
 
-/// A body of unknown length and the feed that fills it, with room for `capacity` pieces.
+/// Creates a body of unknown length and its sender, with a buffer of `capacity` chunks between them.
 pub fn body_channel(capacity: usize) -> (BodySender, Body) {
     let (sender, receiver) = async_channel::bounded(capacity);
-    let reader = FeedReader { pieces: Box::pin(receiver), piece: Vec::new(), used: 0 };
+    let reader = ChannelReader { chunks: Box::pin(receiver), chunk: Vec::new(), consumed: 0 };
     (BodySender { sender }, Body::from_reader(reader, None))
 }
 
-/// Reads a whole body of up to `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// `BodyTooLarge` beyond the limit, `RequestTimeout` if the sender falls silent, `InvalidRequest` if it breaks off.
+/// `BodyTooLarge` if the body exceeds the limit, `RequestTimeout` if reading it times out, `InvalidRequest` if reading it
+/// fails in any other way.
 pub async fn read_body(body: Body, limit: usize) -> Result<Vec<u8>> {
     let mut bytes = Vec::new();
     let outcome = body.take(limit as u64 + 1).read_to_end(&mut bytes).await;
@@ -61,33 +62,35 @@
     }
 }
 
-struct FeedReader {
-    pieces: Pin<Box<Receiver<Vec<u8>>>>,
-    piece: Vec<u8>,
-    used: usize,
+/// The receiving end of a streamed body.
+struct ChannelReader {
+    chunks: Pin<Box<Receiver<Vec<u8>>>>,
+    chunk: Vec<u8>,
+    /// The number of bytes of `chunk` that have been consumed.
+    consumed: usize,
 }
 
-impl BufRead for FeedReader {
+impl BufRead for ChannelReader {
     fn poll_fill_buf(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let this = self.get_mut();
-        while this.used == this.piece.len() {
-            match ready!(this.pieces.as_mut().poll_next(cx)) {
-                Some(piece) => {
-                    this.piece = piece;
-                    this.used = 0;
+        while this.consumed == this.chunk.len() {
+            match ready!(this.chunks.as_mut().poll_next(cx)) {
+                Some(chunk) => {
+                    this.chunk = chunk;
+                    this.consumed = 0;
                 }
                 None => return Poll::Ready(Ok(&[])),
             }
         }
-        Poll::Ready(Ok(&this.piece[this.used..]))
+        Poll::Ready(Ok(&this.chunk[this.consumed..]))
     }
 
     fn consume(mut self: Pin<&mut Self>, amt: usize) {
-        self.used += amt;
+        self.consumed += amt;
     }
 }
 
-impl Read for FeedReader {
+impl Read for ChannelReader {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
         let available = ready!(self.as_mut().poll_fill_buf(cx))?;
         let count = available.len().min(buf.len());
--- a/crates/hollyhook_wire/src/http/connection_gate.rs
+++ b/crates/hollyhook_wire/src/http/connection_gate.rs
@@ -3,7 +3,7 @@
 
 use async_channel::{Receiver, Sender};
 
-/// Counts the connections and requests of a server and lets it stop gracefully.
+/// Counts a server's connections and requests, limits its connections and coordinates its graceful shutdown.
 #[derive(Debug, Clone)]
 pub struct ConnectionGate {
     inner: Arc<GateInner>,
@@ -14,6 +14,7 @@
     is_draining: AtomicBool,
     connections: AtomicUsize,
     requests: AtomicUsize,
+    // Nothing is sent through the two channels: closing one wakes everyone who waits on its receiver.
     drain_sender: Sender<()>,
     drain: Receiver<()>,
     idle_sender: Sender<()>,
@@ -21,7 +22,7 @@
 }
 
 impl ConnectionGate {
-    /// An open gate.
+    /// Creates a gate that is open.
     pub fn new() -> Self {
         let (drain_sender, drain) = async_channel::bounded(1);
         let (idle_sender, idle) = async_channel::bounded(1);
@@ -37,14 +38,14 @@
         Self { inner: Arc::new(inner) }
     }
 
-    /// Stops accepting; requests that have begun go on.
+    /// Starts draining: the server accepts no more connections or requests, and finishes those requests already begun.
     pub fn drain(&self) {
         self.inner.is_draining.store(true, Ordering::SeqCst);
         self.inner.drain_sender.close();
-        self.report_idle();
+        self.signal_if_idle();
     }
 
-    /// Whether the gate is closed for new requests.
+    /// Whether the server is draining.
     pub fn is_draining(&self) -> bool {
         self.inner.is_draining.load(Ordering::SeqCst)
     }
@@ -54,33 +55,35 @@
         let _closed = self.inner.drain.recv().await;
     }
 
-    /// Waits until the gate is closed and every request has ended.
+    /// Waits until the server is draining and every request has ended.
     pub async fn wait_idle(&self) {
         let _closed = self.inner.idle.recv().await;
     }
 
-    /// Open connections.
+    /// The number of open connections.
     pub fn connections(&self) -> usize {
         self.inner.connections.load(Ordering::SeqCst)
     }
 
-    /// Requests that have begun and not ended.
+    /// The number of requests that have begun and not ended.
     pub fn requests(&self) -> usize {
         self.inner.requests.load(Ordering::SeqCst)
     }
 
-    pub(super) fn enter(&self, limit: usize) -> Option<ConnectionPass> {
+    /// Counts a connection until the permit is dropped, or returns `None` if `limit` connections are open already.
+    pub(super) fn admit_connection(&self, limit: usize) -> Option<ConnectionPermit> {
         let before = self.inner.connections.fetch_add(1, Ordering::SeqCst);
-        let pass = ConnectionPass { gate: self.clone() };
-        (before < limit).then_some(pass)
+        let permit = ConnectionPermit { gate: self.clone() };
+        (before < limit).then_some(permit)
     }
 
-    pub(super) fn begin(&self) -> RequestPass {
+    /// Counts a request until the permit is dropped.
+    pub(super) fn begin_request(&self) -> RequestPermit {
         self.inner.requests.fetch_add(1, Ordering::SeqCst);
-        RequestPass { gate: self.clone() }
+        RequestPermit { gate: self.clone() }
     }
 
-    fn report_idle(&self) {
+    fn signal_if_idle(&self) {
         if self.is_draining() && self.requests() == 0 {
             self.inner.idle_sender.close();
         }
@@ -94,24 +97,24 @@
 }
 
 #[derive(Debug)]
-pub(super) struct ConnectionPass {
+pub(super) struct ConnectionPermit {
     gate: ConnectionGate,
 }
 
-impl Drop for ConnectionPass {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.gate.inner.connections.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
 #[derive(Debug)]
-pub(super) struct RequestPass {
+pub(super) struct RequestPermit {
     gate: ConnectionGate,
 }
 
-impl Drop for RequestPass {
+impl Drop for RequestPermit {
     fn drop(&mut self) {
         self.gate.inner.requests.fetch_sub(1, Ordering::SeqCst);
-        self.gate.report_idle();
+        self.gate.signal_if_idle();
     }
 }
--- a/crates/hollyhook_wire/src/http/http_client.rs
+++ b/crates/hollyhook_wire/src/http/http_client.rs
@@ -7,16 +7,17 @@
 use hollyhook_core::{Error, ErrorKind, Result};
 use http_types::{Request, Response};
 
-/// Opens one connection for each request, so that a request never meets a stale one.
+/// An HTTP client that opens a new connection for each request.
 ///
-/// Through a kept connection that has silently died, "not sent" could not be told from "sent, no answer".
+/// It never reuses a connection: on a reused one that has failed unnoticed, a request that was not sent could not be
+/// distinguished from a request that was sent and not answered.
 #[derive(Debug, Clone)]
 pub struct HttpClient {
     connect_timeout: Duration,
 }
 
 impl HttpClient {
-    /// A client that waits that long for a connection.
+    /// Creates a client that waits up to `connect_timeout` for each connection.
     pub const fn new(connect_timeout: Duration) -> Self {
         Self { connect_timeout }
     }
@@ -25,7 +26,7 @@
     ///
     /// # Errors
     ///
-    /// `NotRun` if it can't be opened in time: nothing was sent.
+    /// `NotRun` if the connection can't be opened in time; nothing has been sent then.
     pub async fn connect(&self, address: SocketAddr) -> Result<TcpStream> {
         let unreachable = |what: &str| Error::new(ErrorKind::NotRun, format!("no connection to {address}: {what}"));
         let connect = std::pin::pin!(TcpStream::connect(address));
@@ -40,26 +41,26 @@
         }
     }
 
-    /// Sends a request on a new connection and waits for the head of the answer.
+    /// Sends a request on a new connection and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// `NotRun` if no connection could be opened, `OutcomeUnknown` if it broke after that.
-    pub async fn send(&self, address: SocketAddr, request: Request) -> Result<ClientAnswer> {
+    /// `NotRun` if no connection could be opened, `OutcomeUnknown` if the connection failed after that.
+    pub async fn send(&self, address: SocketAddr, request: Request) -> Result<ClientResponse> {
         let stream = self.connect(address).await?;
         send_on(stream, request).await
     }
 
-    /// Sends a request and waits for the whole answer within `limit`.
+    /// Sends a request on a new connection and waits up to `limit` for the complete response: its status and body.
     ///
     /// # Errors
     ///
-    /// As for [`send`](Self::send), and `OutcomeUnknown` when the time is over.
+    /// As for [`send`](Self::send), and `OutcomeUnknown` if the response is not complete within `limit`.
     pub async fn fetch(&self, address: SocketAddr, request: Request, limit: Duration) -> Result<(u16, Vec<u8>)> {
         let fetch = async {
-            let mut answer = self.send(address, request).await?;
-            let status = answer.response.status().into();
-            let body = answer.response.body_bytes().await.map_err(|error| broken(&error))?;
+            let mut response = self.send(address, request).await?;
+            let status = response.inner.status().into();
+            let body = response.inner.body_bytes().await.map_err(|error| connection_error(&error))?;
             Ok((status, body))
         };
         let expiry = std::pin::pin!(Timer::after(limit));
@@ -74,21 +75,22 @@
 }
 
 impl HttpClient {
-    /// Sends a request on a connection that is open, and waits for the whole answer within `limit`.
+    /// Sends a request on an open connection and waits up to `limit` for the complete response.
     ///
     /// # Errors
     ///
-    /// `OutcomeUnknown` if the connection broke or the time is over: the request may have been acted on.
+    /// `OutcomeUnknown` if the connection failed or the response is not complete within `limit`; the request may have been
+    /// executed.
     pub async fn exchange(&self, stream: TcpStream, request: Request, limit: Duration) -> Result<Response> {
         let exchange = async {
-            let mut answer = send_on(stream, request).await?;
-            let body = answer.response.body_bytes().await.map_err(|error| broken(&error))?;
-            let mut response = Response::new(answer.response.status());
-            for (name, values) in &answer.response {
-                response.insert_header(name, values);
+            let mut response = send_on(stream, request).await?;
+            let body = response.inner.body_bytes().await.map_err(|error| connection_error(&error))?;
+            let mut buffered = Response::new(response.inner.status());
+            for (name, values) in &response.inner {
+                buffered.insert_header(name, values);
             }
-            response.set_body(body);
-            Ok(response)
+            buffered.set_body(body);
+            Ok(buffered)
         };
         let expiry = std::pin::pin!(Timer::after(limit));
         match select(std::pin::pin!(exchange), expiry).await {
@@ -101,29 +103,31 @@
     }
 }
 
-/// The head of an answer, whose body streams, on a connection that is cut when this is dropped.
+/// A response whose head has been received and whose body is still to be read.
+///
+/// Dropping it shuts the connection down.
 #[derive(Debug)]
-pub struct ClientAnswer {
-    /// The answer.
-    pub response: Response,
+pub struct ClientResponse {
+    /// The response.
+    pub inner: Response,
     stream: TcpStream,
 }
 
-impl Drop for ClientAnswer {
+impl Drop for ClientResponse {
     fn drop(&mut self) {
         let _closed = self.stream.shutdown(Shutdown::Both);
     }
 }
 
-/// Sends a request on an open connection and waits for the head of the answer.
-pub(crate) async fn send_on(stream: TcpStream, request: Request) -> Result<ClientAnswer> {
+/// Sends a request on an open connection and waits for the head of the response.
+pub(crate) async fn send_on(stream: TcpStream, request: Request) -> Result<ClientResponse> {
     let guard = ShutdownGuard(Some(stream.clone()));
-    let response = async_h1::connect(stream.clone(), request).await.map_err(|error| broken(&error))?;
+    let inner = async_h1::connect(stream.clone(), request).await.map_err(|error| connection_error(&error))?;
     guard.disarm();
-    Ok(ClientAnswer { response, stream })
+    Ok(ClientResponse { inner, stream })
 }
 
-/// Cuts the connection if the wait for the answer is given up.
+/// Shuts the connection down if the wait for the response fails or is cancelled.
 struct ShutdownGuard(Option<TcpStream>);
 
 impl ShutdownGuard {
@@ -140,6 +144,6 @@
     }
 }
 
-fn broken(error: &http_types::Error) -> Error {
+fn connection_error(error: &http_types::Error) -> Error {
     Error::new(ErrorKind::OutcomeUnknown, format!("the connection broke before the whole answer: {error}"))
 }
--- a/crates/hollyhook_wire/src/http/http_server.rs
+++ b/crates/hollyhook_wire/src/http/http_server.rs
@@ -12,10 +12,10 @@
 use socket2::{Domain, Protocol, Socket, Type};
 
 use super::ConnectionGate;
-use super::guarded_stream::{GuardedStream, HeadOutcome};
+use super::limited_stream::{HeadOutcome, LimitedStream};
 use crate::api::ApiErrorBody;
 
-/// What a server bears from one caller.
+/// Limits on a server's connections and on the requests of each.
 #[derive(Debug, Clone)]
 pub struct ServerLimits {
     connections: usize,
@@ -26,38 +26,38 @@
 }
 
 impl ServerLimits {
-    /// Open connections at a time; one more is told to come back.
+    /// Sets the maximum number of open connections; a connection beyond them is answered with `Overloaded` and closed.
     #[must_use]
     pub fn connections(mut self, number: usize) -> Self {
         self.connections = number;
         self
     }
 
-    /// Bytes of a request's head.
+    /// Sets the maximum size of a request head in bytes.
     #[must_use]
     pub fn head_bytes(mut self, bytes: usize) -> Self {
         self.head_bytes = bytes;
         self
     }
 
-    /// Silence within a request.
+    /// Sets how long the rest of a request head, or the next bytes of a request body, may take to arrive.
     #[must_use]
-    pub fn read_timeout(mut self, span: Duration) -> Self {
-        self.read_timeout = span;
+    pub fn read_timeout(mut self, duration: Duration) -> Self {
+        self.read_timeout = duration;
         self
     }
 
-    /// How long a caller may not take what is sent.
+    /// Sets how long a response may stay blocked because its caller does not read it.
     #[must_use]
-    pub fn write_timeout(mut self, span: Duration) -> Self {
-        self.write_timeout = span;
+    pub fn write_timeout(mut self, duration: Duration) -> Self {
+        self.write_timeout = duration;
         self
     }
 
-    /// Silence between requests.
+    /// Sets how long a connection may stay idle before a request.
     #[must_use]
-    pub fn idle_timeout(mut self, span: Duration) -> Self {
-        self.idle_timeout = span;
+    pub fn idle_timeout(mut self, duration: Duration) -> Self {
+        self.idle_timeout = duration;
         self
     }
 }
@@ -66,7 +66,7 @@
     fn default() -> Self {
         Self {
             connections: 20_000,
-            // async-h1 gives up without an answer above 8 KiB.
+            // async-h1 closes the connection without a response if a head reaches 8 KiB.
             head_bytes: 8 * 1_024 - 1,
             read_timeout: Duration::from_secs(5),
             write_timeout: Duration::from_secs(20),
@@ -75,7 +75,7 @@
     }
 }
 
-/// Accepts connections and answers their requests, under limits and with a graceful stop.
+/// An HTTP server with limits and graceful shutdown.
 #[derive(Debug)]
 pub struct HttpServer {
     listener: TcpListener,
@@ -85,31 +85,33 @@
 }
 
 impl HttpServer {
-    /// A server that listens at `address`; port 0 takes a free one.
+    /// Creates a server that listens on `address`; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// `InvalidSetting` if the address can't be listened at.
+    /// `InvalidSetting` if the server can't listen on the address.
     pub fn bind(address: SocketAddr, limits: ServerLimits) -> Result<Self, Error> {
-        let wrong = |error: std::io::Error| {
+        let invalid = |error: std::io::Error| {
             Error::new(ErrorKind::InvalidSetting, format!("can't listen at {address}: {error}")).param("listen")
         };
-        let listener = listen(address).map_err(wrong)?;
-        let address = listener.local_addr().map_err(wrong)?;
+        let listener = listen(address).map_err(invalid)?;
+        let address = listener.local_addr().map_err(invalid)?;
         Ok(Self { listener, address, limits, gate: ConnectionGate::new() })
     }
 
-    /// Where it listens.
+    /// The address that the server listens on, with the port that was selected.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The gate that counts its requests and stops it.
+    /// The gate that counts the server's requests and shuts it down.
     pub fn gate(&self) -> ConnectionGate {
         self.gate.clone()
     }
 
-    /// Serves until the gate drains. Requests that have begun go on; wait for them at the gate.
+    /// Accepts connections until the gate drains.
+    ///
+    /// Requests that have begun continue after that; [`ConnectionGate::wait_idle`] waits for them.
     pub async fn run<F, Fut>(self, handler: F)
     where
         F: Fn(Request) -> Fut + Send + Sync + 'static,
@@ -122,7 +124,7 @@
             let drain = std::pin::pin!(self.gate.wait_draining());
             match select(accept, drain).await {
                 Either::Left((Ok((stream, _peer)), _)) => self.spawn(stream, Arc::clone(&handler)),
-                // Out of descriptors, most likely; the connections that are open go on.
+                // Most likely no file descriptors are left. Open connections continue, and closing them frees descriptors.
                 Either::Left((Err(_), _)) => task::sleep(ACCEPT_PAUSE).await,
                 Either::Right(((), _)) => return,
             }
@@ -136,27 +138,29 @@
     {
         let limits = self.limits.clone();
         let gate = self.gate.clone();
-        let pass = gate.enter(limits.connections);
+        let permit = gate.admit_connection(limits.connections);
         task::spawn(async move {
-            // A token is a small write; waiting to join it with the next one would delay it.
+            // A token is a small write, which Nagle's algorithm would hold back to combine it with the next one.
             let _unsupported = stream.set_nodelay(true);
-            if pass.is_none() {
+            if permit.is_none() {
                 let error = Error::new(ErrorKind::Overloaded, "this host has too many open connections")
                     .retry_after(Duration::from_secs(1));
-                return refuse(&stream, &error).await;
+                return write_error(&stream, &error).await;
             }
             serve_connection(stream, limits, gate, handler).await;
-            drop(pass);
+            drop(permit);
         });
     }
 }
 
-/// Listens with a longer queue than the standard library's 128, which a thousand callers at once overflow; the
-/// kernel then drops the connections that are being made, and each costs its caller a second.
+/// Listens on an address with a longer accept queue than the standard library's.
+///
+/// The standard library's queue of 128 connections overflows when 1,000 callers connect at once. The kernel then drops
+/// connection attempts, and each caller concerned loses a second until it retries.
 ///
 /// # Errors
 ///
-/// Whatever the kernel has against the address.
+/// The kernel's error if it can't listen on the address.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     const BACKLOG: i32 = 4_096;
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
@@ -172,9 +176,9 @@
     F: Fn(Request) -> Fut + Send + Sync + 'static,
     Fut: Future<Output = http_types::Result<Response>> + Send + 'static,
 {
-    let guard = GuardedStream::new(stream, limits.read_timeout, limits.write_timeout);
+    let stream = LimitedStream::new(stream, limits.read_timeout, limits.write_timeout);
     loop {
-        let head = std::pin::pin!(guard.next_head(limits.head_bytes, limits.idle_timeout));
+        let head = std::pin::pin!(stream.next_head(limits.head_bytes, limits.idle_timeout));
         let drain = std::pin::pin!(gate.wait_draining());
         let head = match select(head, drain).await {
             Either::Left((head, _)) => head,
@@ -183,19 +187,19 @@
         match head {
             Ok(HeadOutcome::Ready) => {}
             Ok(HeadOutcome::Ended) => return,
-            Err(error) => return refuse(guard.stream(), &error).await,
+            Err(error) => return write_error(stream.tcp_stream(), &error).await,
         }
-        let pass = gate.begin();
-        let endpoint = |request: Request| {
+        let permit = gate.begin_request();
+        let respond = |request: Request| {
             let handler = Arc::clone(&handler);
             async move { handler(request).await }
         };
-        let mut server = Server::new(guard.clone(), endpoint);
+        let mut server = Server::new(stream.clone(), respond);
         let (serve, abort) = abortable(async move { server.accept_one().await });
-        let watch = HangUpWatch::start(guard.clone(), abort);
+        let watch = DisconnectWatch::start(stream.clone(), abort);
         let outcome = serve.await;
         drop(watch);
-        drop(pass);
+        drop(permit);
         match outcome {
             Ok(Ok(ConnectionStatus::KeepAlive)) if !gate.is_draining() => {}
             _ => return,
@@ -203,39 +207,39 @@
     }
 }
 
-/// Ends the work for a request when its caller hangs up.
+/// Aborts the handling of a request when its caller disconnects.
 ///
-/// A task of its own: polled together with the work, it would ask the kernel again for each piece sent.
-struct HangUpWatch {
+/// It runs as a separate task: polled together with the request, it would make a system call for each chunk sent.
+struct DisconnectWatch {
     task: Option<task::JoinHandle<()>>,
 }
 
-impl HangUpWatch {
-    fn start(guard: GuardedStream, abort: AbortHandle) -> Self {
+impl DisconnectWatch {
+    fn start(stream: LimitedStream, abort: AbortHandle) -> Self {
         let task = task::spawn(async move {
-            guard.hung_up().await;
+            stream.closed().await;
             abort.abort();
         });
         Self { task: Some(task) }
     }
 }
 
-impl Drop for HangUpWatch {
+impl Drop for DisconnectWatch {
     fn drop(&mut self) {
         if let Some(watch) = self.task.take() {
-            // Cancelling takes effect when the handle is polled, which needs a task of its own here.
+            // The cancellation takes effect when its future is polled. `drop` can't await the future and polls it once.
             let _ended = watch.cancel().now_or_never();
         }
     }
 }
 
-/// Writes an answer by hand, where the HTTP library would end the connection without one.
-async fn refuse(stream: &TcpStream, error: &Error) {
+/// Writes an error response directly, where the HTTP library would close the connection without a response.
+async fn write_error(stream: &TcpStream, error: &Error) {
     const LINGER: Duration = Duration::from_millis(200);
     let body = ApiErrorBody::from(error).to_json();
     let status =
         http_types::StatusCode::try_from(error.answer().status).unwrap_or(http_types::StatusCode::InternalServerError);
-    let retry = error.get_retry_after().map(|span| format!("retry-after: {}\r\n", span.as_secs().max(1)));
+    let retry = error.get_retry_after().map(|duration| format!("retry-after: {}\r\n", duration.as_secs().max(1)));
     let text = format!(
         "HTTP/1.1 {} {}\r\ncontent-type: application/json\r\n{}content-length: {}\r\nconnection: close\r\n\r\n{body}",
         u16::from(status),
@@ -248,7 +252,7 @@
         return;
     }
     let _closed = stream.shutdown(std::net::Shutdown::Write);
-    // Closing with unread bytes would reset the connection, and the caller might lose the answer.
+    // Closing a connection with unread bytes resets it, and the caller might then lose the response.
     let drain = async_std::io::copy(stream.clone(), async_std::io::sink());
     let _drained = async_std::future::timeout(LINGER, drain).await;
 }
--- a/crates/hollyhook_wire/src/http/mod.rs
+++ b/crates/hollyhook_wire/src/http/mod.rs
@@ -1,13 +1,13 @@
-//! HTTP by `async-h1`, with the limits, deadlines and graceful stop that it leaves to its user.
+//! HTTP/1.1 by `async-h1`, with the limits, timeouts and graceful shutdown that `async-h1` itself lacks.
 
-mod body_feed;
+mod body_sender;
 mod connection_gate;
-mod guarded_stream;
 mod http_client;
 mod http_server;
+mod limited_stream;
 mod request_head;
 
-pub use body_feed::{BodySender, body_channel, read_body};
+pub use body_sender::{BodySender, body_channel, read_body};
 pub use connection_gate::ConnectionGate;
-pub use http_client::{ClientAnswer, HttpClient};
+pub use http_client::{ClientResponse, HttpClient};
 pub use http_server::{HttpServer, ServerLimits, listen};
--- a/crates/hollyhook_wire/src/http/request_head.rs
+++ b/crates/hollyhook_wire/src/http/request_head.rs
@@ -1,27 +1,27 @@
 use hollyhook_core::{Error, ErrorKind, Result};
 
-/// The most header fields that a request may have.
+/// The maximum number of header fields in a request.
 const MAX_FIELDS: usize = 100;
 
-/// What the server has to know of a request's head before the HTTP library sees it.
+/// What the server needs from a request head before the HTTP library parses the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct RequestHead {
-    /// Bytes of body to come; none if it is chunked.
+    /// The length of the body in bytes; `None` if the body has a transfer encoding (chunked).
     pub(super) content_length: Option<u64>,
 }
 
-/// The length of the head with its empty line, if it is there whole.
+/// The length of the head including its final empty line, or `None` if the head is incomplete.
 pub(super) fn head_end(bytes: &[u8]) -> Option<usize> {
     bytes.windows(4).position(|window| window == b"\r\n\r\n").map(|start| start + 4)
 }
 
 impl RequestHead {
-    /// Checks a whole head.
+    /// Checks a complete head.
     ///
     /// # Errors
     ///
-    /// `MalformedHead` for what is not HTTP/1 or leaves the length of the body in doubt, `HeadTooLarge` for too many
-    /// fields.
+    /// `MalformedHead` if the head is not valid HTTP/1, does not have exactly one `Host` field or leaves the length of the
+    /// body ambiguous; `HeadTooLarge` if it has more than [`MAX_FIELDS`] fields.
     pub(super) fn parse(head: &[u8]) -> Result<Self> {
         let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut request = httparse::Request::new(&mut fields);
@@ -59,6 +59,6 @@
     length.ok_or_else(|| malformed("Content-Length is not a number"))
 }
 
-fn malformed(what: &str) -> Error {
-    Error::new(ErrorKind::MalformedHead, format!("the request is not valid HTTP/1.1: {what}")).param("head")
+fn malformed(detail: &str) -> Error {
+    Error::new(ErrorKind::MalformedHead, format!("the request is not valid HTTP/1.1: {detail}")).param("head")
 }
--- a/crates/hollyhook_wire/src/lib.rs
+++ b/crates/hollyhook_wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! The protocols of hollyhook: HTTP with limits, server-sent events, the callers' and the endpoints' API, the
-//! platform's objects, and the calls between daemons.
+//! The network protocols of hollyhook: HTTP with limits, server-sent events, the APIs of callers and endpoints, the
+//! platform's object store, and remote procedure calls between daemons.
 
 mod api;
 mod http;
@@ -13,7 +13,7 @@
     EngineUsage, EngineWork, GenerationState, LOAD_HEADER, RequestLimits, StreamItem, StreamWriter, completion_body,
 };
 pub use http::{
-    BodySender, ClientAnswer, ConnectionGate, HttpClient, HttpServer, ServerLimits, body_channel, listen, read_body,
+    BodySender, ClientResponse, ConnectionGate, HttpClient, HttpServer, ServerLimits, body_channel, listen, read_body,
 };
 pub use peer::{
     CounterRow, EndpointRow, HistogramRow, HostReport, PeerCallsClient, PeerServer, StatusReport, connect_peer,
--- a/crates/hollyhook_wire/src/peer/mod.rs
+++ b/crates/hollyhook_wire/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! Calls between daemons, and from the operator's command to a daemon, by `tarpc`.
+//! Remote procedure calls over `tarpc`: between daemons, and from the operator's command to a daemon.
 
 mod peer_calls;
 mod status_report;
--- a/crates/hollyhook_wire/src/peer/peer_calls.rs
+++ b/crates/hollyhook_wire/src/peer/peer_calls.rs
@@ -15,40 +15,40 @@
 
 use super::StatusReport;
 
-/// The largest message between daemons, in bytes.
-const MAX_FRAME: usize = 20 << 20;
+/// The maximum size of a message between daemons, in bytes.
+const MAX_FRAME_BYTES: usize = 20 << 20;
 
-/// What a daemon says of itself to another.
+/// A daemon's report on itself to another daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostReport {
     /// The host's name.
     pub host: Name,
     /// Its availability zone.
     pub zone: Name,
-    /// The version of the configuration that it runs.
+    /// The version of the configuration in force.
     pub config_version: u64,
     /// A digest of that configuration, in hexadecimal.
     pub config_digest: Name,
-    /// Whether it is stopping.
+    /// Whether the daemon is shutting down and accepts no new requests.
     pub is_draining: bool,
-    /// Generations that it relays.
+    /// The number of open requests of callers, plain calls included.
     pub generations: u32,
 }
 
-/// The calls that a daemon answers to others.
+/// The remote procedure calls that a daemon answers.
 mod service {
     use hollyhook_core::{GenerationId, Name};
 
     use super::{HostReport, StatusReport};
 
-    /// The calls that a daemon answers to others.
+    /// The remote procedure calls that a daemon answers.
     #[tarpc::service]
     pub trait PeerCalls {
-        /// What the daemon says of itself.
+        /// The daemon's report on itself.
         async fn report() -> HostReport;
-        /// What the daemon shows an operator.
+        /// The daemon's status for operators; `None` if the daemon does not provide it.
         async fn status() -> Option<StatusReport>;
-        /// The trace of a generation, one JSON object a line, if the daemon has kept it.
+        /// The trace of a generation, one JSON object per line; `None` if the daemon has not kept it.
         async fn trace(generation: GenerationId) -> Option<Name>;
     }
 }
@@ -56,7 +56,9 @@
 use service::PeerCalls;
 pub use service::PeerCallsClient;
 
-/// Answers the calls of other daemons and of the operator's command with what closures say. A builder.
+/// Answers the calls of other daemons and of the operator's command.
+///
+/// It is built from closures that produce the answers.
 #[derive(Clone)]
 pub struct PeerServer {
     report: Arc<dyn Fn() -> HostReport + Send + Sync>,
@@ -65,19 +67,19 @@
 }
 
 impl PeerServer {
-    /// A server that calls `report` for each request for a host's report, and knows nothing else.
+    /// Creates a server that answers `report` calls and has neither a status nor traces.
     pub fn new(report: impl Fn() -> HostReport + Send + Sync + 'static) -> Self {
         Self { report: Arc::new(report), status: Arc::new(|| None), trace: Arc::new(|_generation| None) }
     }
 
-    /// The same server with a status.
+    /// Sets the closure that answers `status` calls.
     #[must_use]
     pub fn status(mut self, status: impl Fn() -> StatusReport + Send + Sync + 'static) -> Self {
         self.status = Arc::new(move || Some(status()));
         self
     }
 
-    /// The same server with traces.
+    /// Sets the closure that answers `trace` calls.
     #[must_use]
     pub fn trace(mut self, trace: impl Fn(GenerationId) -> Option<Name> + Send + Sync + 'static) -> Self {
         self.trace = Arc::new(trace);
@@ -105,7 +107,9 @@
     }
 }
 
-/// Answers other daemons at a listener until the task is dropped.
+/// Accepts connections of peers and answers their calls until the future is dropped.
+///
+/// Connections that are open then are still served.
 pub async fn serve_peers(listener: TcpListener, server: PeerServer) {
     const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
     loop {
@@ -117,22 +121,23 @@
         task::spawn(async move {
             let transport = transport(stream);
             let requests = BaseChannel::with_defaults(transport).execute(server.serve());
-            // Each request in its own task, so that a slow one holds up no other.
+            // Each request runs in its own task, so that a slow request does not delay the others.
             requests.for_each(|answer| async { drop(task::spawn(answer)) }).await;
         });
     }
 }
 
-/// Connects to another daemon.
+/// Connects to a daemon's peer address.
 ///
 /// # Errors
 ///
-/// `NoEndpoint` if it can't be reached within `limit`.
+/// `NoEndpoint` if the daemon can't be reached within `limit`.
 pub async fn connect_peer(address: SocketAddr, limit: Duration) -> Result<PeerCallsClient> {
-    let unreachable = |what: &str| Error::new(ErrorKind::NoEndpoint, format!("no daemon answers at {address}: {what}"));
+    let unreachable =
+        |detail: &str| Error::new(ErrorKind::NoEndpoint, format!("no daemon answers at {address}: {detail}"));
     let connected = async_std::future::timeout(limit, TcpStream::connect(address)).await;
     let stream =
-        connected.map_err(|_late| unreachable("timed out"))?.map_err(|error| unreachable(&error.to_string()))?;
+        connected.map_err(|_elapsed| unreachable("timed out"))?.map_err(|error| unreachable(&error.to_string()))?;
     let client = PeerCallsClient::new(tarpc::client::Config::default(), transport(stream));
     task::spawn(async move {
         let _closed = client.dispatch.await;
@@ -143,6 +148,7 @@
 type PeerTransport<I, O> =
     tarpc::serde_transport::Transport<tokio_util::compat::Compat<TcpStream>, I, O, Bincode<I, O>>;
 
+/// Frames messages on a connection, with a length before each, and encodes them as Bincode.
 fn transport<I, O>(stream: TcpStream) -> PeerTransport<I, O>
 where
     I: for<'de> Deserialize<'de>,
@@ -150,7 +156,7 @@
 {
     let _unsupported = stream.set_nodelay(true);
     let mut codec = LengthDelimitedCodec::new();
-    codec.set_max_frame_length(MAX_FRAME);
+    codec.set_max_frame_length(MAX_FRAME_BYTES);
     let framed = tokio_util::codec::Framed::new(stream.compat(), codec);
     tarpc::serde_transport::new(framed, Bincode::default())
 }
--- a/crates/hollyhook_wire/src/peer/status_report.rs
+++ b/crates/hollyhook_wire/src/peer/status_report.rs
@@ -3,72 +3,72 @@
 
 use super::HostReport;
 
-/// What a daemon shows an operator.
+/// A daemon's status for operators.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// The host.
+    /// The daemon's report on its host.
     pub host: HostReport,
-    /// Seconds since the daemon started.
+    /// The time since the daemon started, in seconds.
     pub uptime_secs: u64,
-    /// Open connections of callers.
+    /// The number of open connections of callers.
     pub connections: u64,
-    /// Processor time spent so far, in milliseconds; 0 where the machine does not say.
+    /// The processor time used so far, in milliseconds; 0 if the operating system does not report it.
     pub cpu_ms: u64,
-    /// Resident memory, in bytes; 0 where the machine does not say.
+    /// The resident memory, in bytes; 0 if the operating system does not report it.
     pub memory_bytes: u64,
-    /// The endpoints as this host knows them.
+    /// The endpoints known to this host.
     pub endpoints: Vec<EndpointRow>,
-    /// The counters by name.
+    /// The counters.
     pub counters: Vec<CounterRow>,
     /// The histograms.
     pub histograms: Vec<HistogramRow>,
 }
 
-/// An endpoint as a host knows it.
+/// A host's view of an endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndpointRow {
-    /// Its name.
+    /// The endpoint's name.
     pub endpoint: Name,
-    /// Its service.
+    /// The endpoint's service.
     pub service: Name,
-    /// Its availability zone.
+    /// The endpoint's availability zone.
     pub zone: Name,
-    /// Whether it gets new work.
+    /// Whether the endpoint receives new requests.
     pub state: EndpointState,
-    /// Whether it is left out after failures.
+    /// Whether the endpoint is ejected after failures.
     pub is_ejected: bool,
-    /// Requests that this host has open there.
+    /// The number of requests that this host has open at the endpoint.
     pub open: u32,
-    /// Requests a place, as this host expects.
+    /// The expected load in requests per slot.
     pub pressure: f64,
 }
 
 /// A counter.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CounterRow {
-    /// Its name.
+    /// The counter's name.
     pub counter: Name,
-    /// Its value since the start.
+    /// The counter's value since the daemon started.
     pub value: u64,
 }
 
-/// A histogram of times, in microseconds.
+/// A histogram of durations, in microseconds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistogramRow {
-    /// What was measured.
+    /// The duration that was measured.
     pub measure: Name,
-    /// Whether it is of a client account or of a class.
+    /// What `name` is the name of: `account` (a client account), `class` or `cause`.
     pub scope: Name,
-    /// The account's or the class's name.
+    /// The name of the client account, class or cause that the histogram covers.
     pub name: Name,
-    /// Samples.
+    /// The number of samples.
     pub count: u64,
-    /// Half of the samples are up to this.
+    /// The median.
     pub p50_us: u64,
-    /// 95 in 100 are.
+    /// The 95th percentile.
     pub p95_us: u64,
-    /// 99 in 100 are.
+    /// The 99th percentile.
     pub p99_us: u64,
-    /// The largest.
+    /// The maximum.
     pub max_us: u64,
 }
--- a/crates/hollyhook_wire/src/platform/mod.rs
+++ b/crates/hollyhook_wire/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's object API: versions, conditional updates and watches.
+//! A client of the platform's object store: versioned objects, conditional writes and watches.
 
 mod platform_client;
 mod stored_object;
--- a/crates/hollyhook_wire/src/platform/platform_client.rs
+++ b/crates/hollyhook_wire/src/platform/platform_client.rs
@@ -13,10 +13,10 @@
 use crate::api::{decode, request_to};
 use crate::http::HttpClient;
 
-/// How long a call other than a watch may take.
+/// The timeout of a call; a watch may take this much longer than its wait.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a write is conditional on.
+/// The condition of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteCondition {
     /// The object does not exist.
@@ -28,13 +28,13 @@
 /// Why a call to the platform failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlatformError {
-    /// No such object.
+    /// The platform has no such object.
     Missing,
-    /// The condition of a write does not hold.
+    /// The write's condition does not hold.
     Conflict,
-    /// The call did not reach the platform, or it said that it did nothing.
+    /// The call did not reach the platform, or the platform answered that it did nothing.
     Unavailable,
-    /// No answer came: a write may or may not have taken effect.
+    /// No valid response arrived: a write may or may not have taken effect.
     Unknown,
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// Calls made, since the platform counts and charges each.
+/// The numbers of calls made, since the platform counts and charges each call.
 #[derive(Debug, Default)]
 pub struct PlatformCalls {
     reads: AtomicU64,
@@ -70,7 +70,7 @@
     watches: AtomicU64,
 }
 
-/// Speaks the platform's object API.
+/// A client of the platform's object API.
 #[derive(Debug, Clone)]
 pub struct PlatformClient {
     address: SocketAddr,
@@ -79,22 +79,22 @@
 }
 
 impl PlatformClient {
-    /// A client for the platform at that address.
+    /// Creates a client of the platform at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, http: HttpClient::new(Duration::from_millis(500)), calls: Arc::default() }
     }
 
-    /// Reads made so far.
+    /// The number of reads made so far.
     pub fn reads(&self) -> u64 {
         self.calls.reads.load(Ordering::Relaxed)
     }
 
-    /// Writes made so far.
+    /// The number of writes made so far.
     pub fn writes(&self) -> u64 {
         self.calls.writes.load(Ordering::Relaxed)
     }
 
-    /// Watches begun so far.
+    /// The number of watches begun so far.
     pub fn watches(&self) -> u64 {
         self.calls.watches.load(Ordering::Relaxed)
     }
@@ -121,7 +121,9 @@
         self.call(request, CALL_TIMEOUT).await
     }
 
-    /// Waits up to `wait` for changes of a kind after a revision; the list is empty if there were none.
+    /// Waits up to `wait` for changes to the objects of a kind after a revision.
+    ///
+    /// The list is empty if there were no changes.
     ///
     /// # Errors
     ///
@@ -137,7 +139,8 @@
     ///
     /// # Errors
     ///
-    /// `Conflict` if it does not, `Unavailable` if nothing was written, `Unknown` if no answer came.
+    /// `Conflict` if the condition does not hold, `Unavailable` if nothing was written, `Unknown` if no valid response
+    /// arrived, so that the write may have taken effect.
     pub async fn put(
         &self,
         kind: &str,
@@ -165,7 +168,7 @@
             Ok((200 | 201, body)) => decode(&body).map_err(|_error| PlatformError::Unknown),
             Ok((404, _)) => Err(PlatformError::Missing),
             Ok((412, _)) => Err(PlatformError::Conflict),
-            // The platform answers 503 before it touches anything.
+            // The platform answers 503 only before it has changed anything.
             Ok((503, _)) => Err(PlatformError::Unavailable),
             Err(error) if error.kind() == ErrorKind::NotRun => Err(PlatformError::Unavailable),
             Ok(_) | Err(_) => Err(PlatformError::Unknown),
--- a/crates/hollyhook_wire/src/sse/mod.rs
+++ b/crates/hollyhook_wire/src/sse/mod.rs
@@ -1,4 +1,4 @@
-//! Server-sent events (WHATWG HTML, section 9.2): reading them piece by piece.
+//! Incremental parser for server-sent events (WHATWG HTML, section 9.2).
 
 mod sse_parser;
 
--- a/crates/hollyhook_wire/src/sse/sse_parser.rs
+++ b/crates/hollyhook_wire/src/sse/sse_parser.rs
@@ -1,7 +1,7 @@
-/// The most bytes of one event; a longer one ends the stream.
+/// The maximum size of an event in bytes; a stream with a larger incomplete event is abandoned.
 const MAX_EVENT_BYTES: usize = 256 * 1_024;
 
-/// One event.
+/// A server-sent event.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SseEvent {
     /// The `id` field, if the event has one.
@@ -12,7 +12,7 @@
     pub data: String,
 }
 
-/// Takes bytes in any pieces and gives whole events.
+/// Parses a byte stream, received in chunks of any size, into complete events.
 ///
 /// ```
 /// use hollyhook_wire::SseParser;
@@ -27,51 +27,55 @@
 #[derive(Debug, Default)]
 pub struct SseParser {
     bytes: Vec<u8>,
-    used: usize,
+    /// The number of bytes of `bytes` that have been parsed.
+    consumed: usize,
+    /// The event under way.
     event: SseEvent,
+    /// Whether the event under way has a field, so that an empty line completes it.
     has_field: bool,
 }
 
 impl SseParser {
-    /// Takes the next bytes in.
+    /// Appends the next bytes of the stream.
     pub fn feed(&mut self, bytes: &[u8]) {
-        if self.used == self.bytes.len() {
+        if self.consumed == self.bytes.len() {
             self.bytes.clear();
-            self.used = 0;
-        } else if self.used > self.bytes.len() / 2 {
-            self.bytes.drain(..self.used);
-            self.used = 0;
+            self.consumed = 0;
+        } else if self.consumed > self.bytes.len() / 2 {
+            self.bytes.drain(..self.consumed);
+            self.consumed = 0;
         }
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next whole event, if there is one.
+    /// The next complete event, or `None` until more bytes arrive.
     pub fn next_event(&mut self) -> Option<SseEvent> {
-        while let Some(length) = self.bytes[self.used..].iter().position(|byte| *byte == b'\n') {
-            let line = &self.bytes[self.used..self.used + length];
+        while let Some(length) = self.bytes[self.consumed..].iter().position(|byte| *byte == b'\n') {
+            let line = &self.bytes[self.consumed..self.consumed + length];
             let line = line.strip_suffix(b"\r").unwrap_or(line);
             let line = String::from_utf8_lossy(line);
             if line.is_empty() {
-                self.used += length + 1;
+                self.consumed += length + 1;
                 if std::mem::take(&mut self.has_field) {
                     return Some(std::mem::take(&mut self.event));
                 }
                 continue;
             }
-            let is_field = take_field(&mut self.event, &line);
+            let is_field = apply_field(&mut self.event, &line);
             self.has_field |= is_field;
-            self.used += length + 1;
+            self.consumed += length + 1;
         }
         None
     }
 
-    /// Whether an event is longer than any endpoint sends.
-    pub fn is_overfull(&self) -> bool {
-        self.bytes.len() - self.used + self.event.data.len() > MAX_EVENT_BYTES
+    /// Whether the buffered incomplete event exceeds 256 KiB, which is more than any endpoint sends.
+    pub fn is_oversized(&self) -> bool {
+        self.bytes.len() - self.consumed + self.event.data.len() > MAX_EVENT_BYTES
     }
 }
 
-fn take_field(event: &mut SseEvent, line: &str) -> bool {
+/// Applies a line to the event; returns `false` if the line is no field that this parser uses.
+fn apply_field(event: &mut SseEvent, line: &str) -> bool {
     let (field, value) = line.split_once(':').unwrap_or((line, ""));
     let value = value.strip_prefix(' ').unwrap_or(value);
     match field {
@@ -83,7 +87,7 @@
             }
             event.data.push_str(value);
         }
-        // A comment keeps the connection warm and carries nothing.
+        // A comment carries no data; it only keeps the connection from being idle. Unknown fields are ignored.
         _ => return false,
     }
     true
