--- a/crates/hollyhook_wire/src/api/engine_client.rs
+++ b/crates/hollyhook_wire/src/api/engine_client.rs
@@ -140,7 +140,7 @@
     ) -> Result<()> {
         let path = format!("/v1/generations/{generation}?attempt={attempt}");
         let delete = request_to(Method::Delete, address, &path)?;
-        self.http.fetch(address, delete, limit).await.map(|_answer| ())
+        self.http.fetch(address, delete, limit).await.map(|_response| ())
     }
 
     /// Fetches an endpoint's load.
--- a/crates/hollyhook_wire/src/api/stream_writer.rs
+++ b/crates/hollyhook_wire/src/api/stream_writer.rs
@@ -112,10 +112,10 @@
         };
         let (text, message) = match self.style {
             ApiStyle::Completion => (Some(self.text), None),
-            ApiStyle::Chat => (None, Some(CompletionMessage { role: "assistant", content: self.text })),
+            ApiStyle::Chat => (None, Some(AnswerMessage { role: "assistant", content: self.text })),
         };
-        let choice = CompletionChoice { index: 0, text, message, logprobs: None, finish_reason: self.reason };
-        let body = CompletionBody {
+        let choice = AnswerChoice { index: 0, text, message, logprobs: None, finish_reason: self.reason };
+        let body = AnswerBody {
             id: format!("{prefix}-{}", self.generation),
             object,
             created: self.created,
@@ -128,28 +128,28 @@
 }
 
 #[derive(Serialize)]
-struct CompletionBody<'a> {
+struct AnswerBody<'a> {
     id: String,
     object: &'static str,
     created: u64,
     model: &'a str,
-    choices: [CompletionChoice<'a>; 1],
+    choices: [AnswerChoice<'a>; 1],
     usage: EngineUsage,
 }
 
 #[derive(Serialize)]
-struct CompletionChoice<'a> {
+struct AnswerChoice<'a> {
     index: u32,
     #[serde(skip_serializing_if = "Option::is_none")]
     text: Option<&'a str>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    message: Option<CompletionMessage<'a>>,
+    message: Option<AnswerMessage<'a>>,
     logprobs: Option<()>,
     finish_reason: EndReason,
 }
 
 #[derive(Serialize)]
-struct CompletionMessage<'a> {
+struct AnswerMessage<'a> {
     role: &'static str,
     content: &'a str,
 }
--- a/crates/hollyhook_wire/src/http/connection_gate.rs
+++ b/crates/hollyhook_wire/src/http/connection_gate.rs
@@ -38,7 +38,7 @@
         Self { inner: Arc::new(inner) }
     }
 
-    /// Starts draining: the server accepts no more connections or requests, and finishes those requests already begun.
+    /// Starts draining: the server accepts no new connections or requests and finishes the requests already begun.
     pub fn drain(&self) {
         self.inner.is_draining.store(true, Ordering::SeqCst);
         self.inner.drain_sender.close();
@@ -50,7 +50,7 @@
         self.inner.is_draining.load(Ordering::SeqCst)
     }
 
-    /// Waits until [`drain`](Self::drain) is called.
+    /// Waits until [`drain`](Self::drain) has been called.
     pub async fn wait_draining(&self) {
         let _closed = self.inner.drain.recv().await;
     }
--- a/crates/hollyhook_wire/src/http/http_client.rs
+++ b/crates/hollyhook_wire/src/http/http_client.rs
@@ -28,7 +28,7 @@
     ///
     /// `NotRun` if the connection can't be opened in time; nothing has been sent then.
     pub async fn connect(&self, address: SocketAddr) -> Result<TcpStream> {
-        let unreachable = |what: &str| Error::new(ErrorKind::NotRun, format!("no connection to {address}: {what}"));
+        let unreachable = |detail: &str| Error::new(ErrorKind::NotRun, format!("no connection to {address}: {detail}"));
         let connect = std::pin::pin!(TcpStream::connect(address));
         let limit = std::pin::pin!(Timer::after(self.connect_timeout));
         match select(connect, limit).await {
--- a/crates/hollyhook_wire/src/http/http_server.rs
+++ b/crates/hollyhook_wire/src/http/http_server.rs
@@ -117,7 +117,7 @@
         F: Fn(Request) -> Fut + Send + Sync + 'static,
         Fut: Future<Output = http_types::Result<Response>> + Send + 'static,
     {
-        const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+        const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
         let handler = Arc::new(handler);
         loop {
             let accept = std::pin::pin!(self.listener.accept());
@@ -125,7 +125,7 @@
             match select(accept, drain).await {
                 Either::Left((Ok((stream, _peer)), _)) => self.spawn(stream, Arc::clone(&handler)),
                 // Most likely no file descriptors are left. Open connections continue, and closing them frees descriptors.
-                Either::Left((Err(_), _)) => task::sleep(ACCEPT_PAUSE).await,
+                Either::Left((Err(_), _)) => task::sleep(ACCEPT_RETRY_DELAY).await,
                 Either::Right(((), _)) => return,
             }
         }
@@ -235,7 +235,7 @@
 
 /// Writes an error response directly, where the HTTP library would close the connection without a response.
 async fn write_error(stream: &TcpStream, error: &Error) {
-    const LINGER: Duration = Duration::from_millis(200);
+    const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
     let body = ApiErrorBody::from(error).to_json();
     let status =
         http_types::StatusCode::try_from(error.answer().status).unwrap_or(http_types::StatusCode::InternalServerError);
@@ -254,5 +254,5 @@
     let _closed = stream.shutdown(std::net::Shutdown::Write);
     // Closing a connection with unread bytes resets it, and the caller might then lose the response.
     let drain = async_std::io::copy(stream.clone(), async_std::io::sink());
-    let _drained = async_std::future::timeout(LINGER, drain).await;
+    let _drained = async_std::future::timeout(LINGER_TIMEOUT, drain).await;
 }
--- a/crates/hollyhook_wire/src/http/limited_stream.rs
+++ b/crates/hollyhook_wire/src/http/limited_stream.rs
@@ -24,7 +24,7 @@
 /// A connection to a caller that is read under size limits and timeouts.
 ///
 /// [`next_head`](Self::next_head) receives and checks one request head. The HTTP library then reads the head and the body
-/// of that request from here, but nothing beyond.
+/// from here; unless the body is chunked, it can't read beyond the body from the connection.
 #[derive(Debug, Clone)]
 pub(super) struct LimitedStream {
     stream: TcpStream,
@@ -95,11 +95,11 @@
 
     /// Waits until the caller has closed the connection or the connection has failed.
     pub(super) async fn closed(&self) {
-        const RECHECK: Duration = Duration::from_millis(100);
+        const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
         let mut probe = [0; 1];
-        // Unread data is a body or the next request. It hides the end of the connection, so check again later.
+        // Unread data is a body or the next request. The end of the connection shows only once that has been read.
         while let Ok(1..) = self.stream.peek(&mut probe).await {
-            Timer::after(RECHECK).await;
+            Timer::after(RECHECK_INTERVAL).await;
         }
     }
 
@@ -197,7 +197,9 @@
     }
 }
 
-/// Returns a time-out error once `timer` has run for `timeout`; starts the timer if it is not running.
+/// Fails with `TimedOut` once `timer` has run for `timeout`, and is pending until then.
+///
+/// Starts the timer if it is not running.
 fn poll_timeout(timer: &mut Option<Timer>, timeout: Duration, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
     let running = timer.get_or_insert_with(|| Timer::after(timeout));
     ready!(Pin::new(running).poll(cx));
--- a/crates/hollyhook_wire/src/peer/peer_calls.rs
+++ b/crates/hollyhook_wire/src/peer/peer_calls.rs
@@ -111,10 +111,10 @@
 ///
 /// Connections that are open then are still served.
 pub async fn serve_peers(listener: TcpListener, server: PeerServer) {
-    const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+    const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
     loop {
         let Ok((stream, _peer)) = listener.accept().await else {
-            task::sleep(ACCEPT_PAUSE).await;
+            task::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let server = server.clone();
--- a/crates/hollyhook_wire/src/sse/sse_parser.rs
+++ b/crates/hollyhook_wire/src/sse/sse_parser.rs
@@ -29,9 +29,9 @@
     bytes: Vec<u8>,
     /// The number of bytes of `bytes` that have been parsed.
     consumed: usize,
-    /// The event under way.
+    /// The incomplete event whose fields are being parsed.
     event: SseEvent,
-    /// Whether the event under way has a field, so that an empty line completes it.
+    /// Whether the incomplete event has a field, so that an empty line completes it.
     has_field: bool,
 }
 
