--- a/crates/hollyhook_kernel/src/timer/clock.rs
+++ b/crates/hollyhook_kernel/src/timer/clock.rs
@@ -8,8 +8,8 @@
 
 /// The maximum duration of a single sleep within a wait.
 ///
-/// Sleeps don't count the time for which the machine is suspended, but the clock does. After a resume, a wait whose
-/// deadline has passed therefore ends within this duration rather than after all the time that was left: a call to the
+/// Sleeps don't count the time for which the machine is suspended, but the clock does. After the machine resumes, a
+/// wait whose deadline has passed ends within this duration rather than after all the time that was left: a call to the
 /// store that was under way times out 1 s after the resume instead of up to 2.75 s after it.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
--- a/crates/hollyhook_wire/src/api/caller_request.rs
+++ b/crates/hollyhook_wire/src/api/caller_request.rs
@@ -119,7 +119,8 @@
 
     /// A digest of the call, the model, the maximum number of output tokens and the prompt.
     ///
-    /// It ties a cursor or an idempotency key to its request, so that neither can be used with a different one.
+    /// It ties a cursor or an idempotency key to its request, so that neither can be used with a request that differs
+    /// in these.
     pub fn digest(&self) -> u64 {
         let mut hash = Sha256::new();
         hash.update(self.style.path());
--- a/crates/hollyhook_wire/src/peer/status_report.rs
+++ b/crates/hollyhook_wire/src/peer/status_report.rs
@@ -18,7 +18,7 @@
     pub memory_bytes: u64,
     /// The endpoints known to this host.
     pub endpoints: Vec<EndpointRow>,
-    /// The counters.
+    /// The counters by name.
     pub counters: Vec<CounterRow>,
     /// The histograms.
     pub histograms: Vec<HistogramRow>,
