--- a/crates/hollyhook_daemon/src/front/generate.rs
+++ b/crates/hollyhook_daemon/src/front/generate.rs
@@ -3,7 +3,9 @@
 use async_std::task;
 use hollyhook_core::{Error, ErrorKind, GenerationId, Name, Result, StreamCursor};
 use hollyhook_settings::{AccountSettings, GenerationSettings, ServiceKind, ServiceSettings};
-use hollyhook_wire::{ApiStyle, CallerRequest, RequestLimits, StreamWriter, WholeAnswer, feed_body, read_body};
+use hollyhook_wire::{
+    ApiStyle, CallerRequest, CompletionResponse, RequestLimits, StreamWriter, body_channel, read_body,
+};
 use http_types::StatusCode;
 use tide::{Request, Response};
 
@@ -25,7 +27,7 @@
     let bytes = read_body(request.take_body(), context.site.limits.body).await?;
     let caller = CallerRequest::parse(style, &bytes)?;
     let (service, settings) = find_service(&context, &caller)?;
-    caller.check(RequestLimits { context: settings.context })?;
+    caller.check(RequestLimits { context_tokens: settings.context })?;
     let cursor = read_cursor(&context, &request, account, &caller)?;
     let keyed_generation = read_idempotency_key(&request)?.map(|key| {
         // The id is derived from the request's digest as well as from the key, so that a key that is reused for another
@@ -49,7 +51,7 @@
     let (reply_sender, reply) = async_channel::bounded(1);
     let (link, body) = if request.is_stream {
         let writer = StreamWriter::new(style, generation, &request.model, created);
-        let (body_sender, body) = feed_body(BODY_CHUNK_CAPACITY);
+        let (body_sender, body) = body_channel(BODY_CHUNK_CAPACITY);
         (CallerLink::streaming(reply_sender, body_sender, writer), Some(body))
     } else {
         (CallerLink::buffered(reply_sender), None)
@@ -64,7 +66,7 @@
             Ok(response.body(body).content_type("text/event-stream").header("cache-control", "no-cache").build())
         }
         (RelayReply::Completed(result), _) => {
-            let completion = WholeAnswer {
+            let completion = CompletionResponse {
                 style,
                 generation,
                 model: &request.model,
--- a/crates/hollyhook_daemon/src/relay/caller_link.rs
+++ b/crates/hollyhook_daemon/src/relay/caller_link.rs
@@ -1,6 +1,6 @@
 use async_channel::Sender;
 use hollyhook_core::{EndReason, Error};
-use hollyhook_wire::{BodyFeed, EngineUsage, StreamWriter};
+use hollyhook_wire::{BodySender, EngineUsage, StreamWriter};
 
 /// Size in bytes from which buffered output is flushed before the next event is handled.
 const FLUSH_THRESHOLD: usize = 16 * 1_024;
@@ -33,7 +33,7 @@
 
 #[derive(Debug)]
 struct StreamLink {
-    body_sender: BodyFeed,
+    body_sender: BodySender,
     writer: StreamWriter,
     output: String,
     has_started: bool,
@@ -44,7 +44,7 @@
         Self { reply, stream: None }
     }
 
-    pub(crate) fn streaming(reply: Sender<RelayReply>, body_sender: BodyFeed, writer: StreamWriter) -> Self {
+    pub(crate) fn streaming(reply: Sender<RelayReply>, body_sender: BodySender, writer: StreamWriter) -> Self {
         let stream = StreamLink { body_sender, writer, output: String::new(), has_started: false };
         Self { reply, stream: Some(stream) }
     }
--- a/crates/hollyhook_gateway/src/gateway/gateway_context.rs
+++ b/crates/hollyhook_gateway/src/gateway/gateway_context.rs
@@ -7,7 +7,7 @@
     ConfigAdoption, FeedTiming, Name, RequestKind, Result, SiteConfig, SiteIndex, SiteState, StopPhase, StopPlan,
     TimePoint, ZoneName,
 };
-use hollyhook_kernel::{ServiceRegistry, TimerService, WallClock};
+use hollyhook_kernel::{ServiceRegistry, SystemClock, TimerService};
 use hollyhook_settings::GatewaySettings;
 use hollyhook_telemetry::MetricBoard;
 
@@ -72,7 +72,7 @@
     ///
     /// `Conflict` if one of the services is registered already.
     pub(crate) fn register(registry: &ServiceRegistry, settings: &GatewaySettings) -> Result<()> {
-        let timer = registry.register(TimerService::NAME, TimerService::from(WallClock::start()))?;
+        let timer = registry.register(TimerService::NAME, TimerService::from(SystemClock::start()))?;
         registry.register(ConnectionPool::NAME, ConnectionPool::new(TimerService::clone(&timer)))?;
         let feed = FeedState::new(Name::clone(&settings.host), ZoneName::clone(&settings.zone), settings.link_mbps);
         registry.register(FeedState::NAME, feed)?;
--- a/crates/hollyhook_kernel/src/timer/mod.rs
+++ b/crates/hollyhook_kernel/src/timer/mod.rs
@@ -1,7 +1,7 @@
-//! Time as a service that parts subscribe to, real or virtual.
+//! A timer service with a real or a virtual clock.
 
 mod clock;
 mod timer_service;
 
-pub use clock::{VirtualClock, WallClock};
+pub use clock::{SystemClock, VirtualClock};
 pub use timer_service::TimerService;
--- a/crates/hollyhook_wire/src/lib.rs
+++ b/crates/hollyhook_wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! The protocols of hollyhook: HTTP with limits, server-sent events, the callers' and the endpoints' API, the
-//! platform's objects, and the calls between daemons.
+//! The network protocols of hollyhook: HTTP with limits, server-sent events, the APIs of callers and endpoints, the
+//! platform's object store, and remote procedure calls between daemons.
 
 mod api;
 mod http;
@@ -8,12 +8,12 @@
 mod sse;
 
 pub use api::{
-    ApiError, ApiErrorBody, ApiStyle, CallerAnswer, CallerClient, CallerItem, CallerRequest, CallerStream, ChunkChoice,
-    ChunkDelta, EngineChunk, EngineClient, EngineExtension, EngineLoad, EngineStream, EngineUsage, EngineWork,
-    GenerationState, LOAD_FIELD, RequestLimits, StreamItem, StreamWriter, WholeAnswer, completion_body,
+    ApiError, ApiErrorBody, ApiStyle, CallerClient, CallerItem, CallerRequest, CallerResponse, CallerStream,
+    ChunkChoice, ChunkDelta, CompletionResponse, EngineChunk, EngineClient, EngineExtension, EngineLoad, EngineStream,
+    EngineUsage, EngineWork, GenerationState, LOAD_HEADER, RequestLimits, StreamItem, StreamWriter, completion_body,
 };
 pub use http::{
-    BodyFeed, ClientAnswer, ConnectionGate, HttpClient, HttpServer, ServerLimits, feed_body, listen, read_body,
+    BodySender, ClientResponse, ConnectionGate, HttpClient, HttpServer, ServerLimits, body_channel, listen, read_body,
 };
 pub use peer::{
     CounterRow, EndpointRow, HistogramRow, HostReport, PeerCallsClient, PeerServer, StatusReport, connect_peer,
