--- a/crates/hollyhook_command/src/demo/demo_run.rs
+++ b/crates/hollyhook_command/src/demo/demo_run.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 use eyre::{Result, bail};
 use futures::future::pending;
-use hollyhook_standin::{FaultKind, FaultOrder, TokenChain};
+use hollyhook_standin::{FaultCommand, FaultKind, TokenChain};
 use hollyhook_wire::{ApiStyle, CallerItem, CallerStream, completion_body};
 use serde::Serialize;
 
@@ -103,7 +103,7 @@
 
 fn kill_busy(fleet: &LocalFleet) -> Option<Instant> {
     let number = fleet.busy_engine()?;
-    fleet.engines[number].suffer(FaultOrder { kind: FaultKind::Die, millis: 0, count: 0 });
+    fleet.engines[number].inject_fault(FaultCommand { kind: FaultKind::Die, millis: 0, count: 0 });
     print!("\n[engine-{number} killed]\n");
     Some(Instant::now())
 }
@@ -128,7 +128,7 @@
     latencies: &[Duration],
 ) -> DemoOutcome {
     let chain = TokenChain::new(prompt, &LocalFleet::binding());
-    let is_linked = chain.first_break(received.iter().map(String::as_str)).is_none();
+    let is_linked = chain.first_mismatch(received.iter().map(String::as_str)).is_none();
     let undisturbed = prompt.split_whitespace().count() as u64 + args.tokens;
     let longest = latencies.iter().max().copied().unwrap_or_default();
     DemoOutcome {
--- a/crates/hollyhook_command/src/load/failure_stream.rs
+++ b/crates/hollyhook_command/src/load/failure_stream.rs
@@ -87,7 +87,7 @@
             StreamWay::Naive(engines) => self.run_naive(&engines).await,
         }
         let chain = TokenChain::new(&self.prompt, &LocalFleet::binding());
-        let is_linked = chain.first_break(self.received.iter().map(String::as_str)).is_none();
+        let is_linked = chain.first_mismatch(self.received.iter().map(String::as_str)).is_none();
         StreamOutcome { is_whole: is_linked && self.received.len() as u64 == self.tokens, times: self.times }
     }
 
--- a/crates/hollyhook_standin/src/engine/engine_shared.rs
+++ b/crates/hollyhook_standin/src/engine/engine_shared.rs
@@ -6,7 +6,7 @@
 
 use super::EngineOptions;
 use super::engine_batch::EngineBatch;
-use crate::fault::{FaultKind, FaultOrder, FaultState};
+use crate::fault::{FaultCommand, FaultKind, FaultState};
 
 /// What an engine's routes, its streams and its steps share.
 #[derive(Debug)]
@@ -27,7 +27,7 @@
         self.batch.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn suffer(&self, order: FaultOrder) {
+    pub(super) fn inject_fault(&self, order: FaultCommand) {
         match order.kind {
             FaultKind::Silence => {
                 self.silence_epoch.fetch_add(1, Ordering::SeqCst);
--- a/crates/hollyhook_standin/src/engine/engine_stand_in.rs
+++ b/crates/hollyhook_standin/src/engine/engine_stand_in.rs
@@ -17,7 +17,7 @@
 use super::engine_shared::EngineShared;
 use super::stream_pump::StreamPump;
 use super::{EngineCounts, EngineOptions};
-use crate::fault::{FaultOrder, FaultState, serve};
+use crate::fault::{FaultCommand, FaultState, serve};
 
 /// Pieces that a stream may be ahead of its reader.
 const FEED_CAPACITY: usize = 64;
@@ -67,8 +67,8 @@
     }
 
     /// Lets it suffer a fault.
-    pub fn suffer(&self, order: FaultOrder) {
-        self.shared.suffer(order);
+    pub fn inject_fault(&self, order: FaultCommand) {
+        self.shared.inject_fault(order);
     }
 }
 
@@ -183,8 +183,8 @@
 }
 
 async fn fault(mut request: Request<Arc<EngineShared>>) -> tide::Result {
-    let order: FaultOrder = request.body_json().await?;
-    request.state().suffer(order);
+    let order: FaultCommand = request.body_json().await?;
+    request.state().inject_fault(order);
     Ok(Response::new(StatusCode::Ok))
 }
 
--- a/crates/hollyhook_standin/src/engine/token_chain.rs
+++ b/crates/hollyhook_standin/src/engine/token_chain.rs
@@ -38,7 +38,7 @@
     }
 
     /// The position of the first token that does not follow from the one before; none if the answer is whole.
-    pub fn first_break<'t>(&self, tokens: impl IntoIterator<Item = &'t str>) -> Option<u64> {
+    pub fn first_mismatch<'t>(&self, tokens: impl IntoIterator<Item = &'t str>) -> Option<u64> {
         let mut previous: Option<&str> = None;
         for (position, token) in tokens.into_iter().enumerate() {
             let position = position as u64;
--- a/crates/hollyhook_standin/src/fault/fault_order.rs
+++ b/crates/hollyhook_standin/src/fault/fault_command.rs
@@ -2,7 +2,7 @@
 
 /// The body of `POST /admin/fault`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FaultOrder {
+pub struct FaultCommand {
     /// What is to happen.
     pub kind: FaultKind,
     /// Milliseconds, where the kind takes a time.
--- a/crates/hollyhook_standin/src/fault/fault_state.rs
+++ b/crates/hollyhook_standin/src/fault/fault_state.rs
@@ -6,7 +6,7 @@
 use hollyhook_wire::{ConnectionGate, HttpServer};
 use tide::{Response, Server};
 
-use super::{FaultKind, FaultOrder};
+use super::{FaultCommand, FaultKind};
 
 /// A header that tells the server to break the connection instead of answering.
 const CUT_HEADER: &str = "x-stand-in-cut";
@@ -38,7 +38,7 @@
     }
 
     /// Applies what concerns every stand-in.
-    pub(crate) fn apply(&self, order: FaultOrder) {
+    pub(crate) fn apply(&self, order: FaultCommand) {
         match order.kind {
             FaultKind::Die => self.die(),
             FaultKind::Pause => self.is_paused.store(true, Ordering::SeqCst),
--- a/crates/hollyhook_standin/src/lib.rs
+++ b/crates/hollyhook_standin/src/lib.rs
@@ -9,6 +9,6 @@
 mod service;
 
 pub use engine::{EngineCounts, EngineOptions, EngineStandIn, TokenChain};
-pub use fault::{FaultKind, FaultOrder};
+pub use fault::{FaultCommand, FaultKind};
 pub use platform::{PlatformCounts, PlatformOptions, PlatformStandIn};
 pub use service::{ServiceCounts, ServiceOptions, ServiceStandIn};
--- a/crates/hollyhook_standin/src/platform/platform_stand_in.rs
+++ b/crates/hollyhook_standin/src/platform/platform_stand_in.rs
@@ -9,7 +9,7 @@
 use tide::{Request, Response, StatusCode};
 
 use super::object_store::{MAX_VALUE_BYTES, ObjectStore};
-use crate::fault::{FaultOrder, FaultState, cut_connection, serve};
+use crate::fault::{FaultCommand, FaultState, cut_connection, serve};
 
 /// The longest that a watch waits, whatever it asks for.
 const MAX_WATCH: Duration = Duration::from_mins(1);
@@ -98,7 +98,7 @@
     }
 
     /// Lets it suffer a fault.
-    pub fn suffer(&self, order: FaultOrder) {
+    pub fn inject_fault(&self, order: FaultCommand) {
         self.shared.faults.apply(order);
     }
 }
@@ -194,7 +194,7 @@
 }
 
 async fn fault(mut request: Request<Arc<PlatformShared>>) -> tide::Result {
-    let order: FaultOrder = request.body_json().await?;
+    let order: FaultCommand = request.body_json().await?;
     request.state().faults.apply(order);
     Ok(Response::new(StatusCode::Ok))
 }
--- a/crates/hollyhook_standin/src/service/service_stand_in.rs
+++ b/crates/hollyhook_standin/src/service/service_stand_in.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 use tide::{Request, Response, StatusCode};
 
-use crate::fault::{FaultOrder, FaultState, cut_connection, serve};
+use crate::fault::{FaultCommand, FaultState, cut_connection, serve};
 
 /// How a service stand-in behaves. A builder.
 #[derive(Debug, Clone, Copy, Default)]
@@ -85,7 +85,7 @@
     }
 
     /// Lets it suffer a fault.
-    pub fn suffer(&self, order: FaultOrder) {
+    pub fn inject_fault(&self, order: FaultCommand) {
         self.shared.faults.apply(order);
     }
 }
@@ -119,7 +119,7 @@
 }
 
 async fn fault(mut request: Request<Arc<ServiceShared>>) -> tide::Result {
-    let order: FaultOrder = request.body_json().await?;
+    let order: FaultCommand = request.body_json().await?;
     request.state().faults.apply(order);
     Ok(Response::new(StatusCode::Ok))
 }
--- a/crates/hollyhook_standin/tests/stand_ins.rs
+++ b/crates/hollyhook_standin/tests/stand_ins.rs
@@ -8,7 +8,7 @@
     AttemptNumber, EndpointRefusal, EndpointState, GenerationId, ModelBinding, OpenMode, ProbeReport, TokenLog,
 };
 use hollyhook_standin::{
-    EngineOptions, EngineStandIn, FaultKind, FaultOrder, PlatformOptions, PlatformStandIn, TokenChain,
+    EngineOptions, EngineStandIn, FaultCommand, FaultKind, PlatformOptions, PlatformStandIn, TokenChain,
 };
 use hollyhook_wire::{
     ApiStyle, CallerRequest, EngineClient, EngineExtension, EngineStream, PlatformClient, PlatformError, StreamItem,
@@ -25,8 +25,8 @@
     ModelBinding::new("tutor", "1")
 }
 
-fn order(kind: FaultKind) -> FaultOrder {
-    FaultOrder { kind, millis: 0, count: 1 }
+fn order(kind: FaultKind) -> FaultCommand {
+    FaultCommand { kind, millis: 0, count: 1 }
 }
 
 fn request(prompt: &str, tokens: u64) -> CallerRequest {
@@ -94,7 +94,7 @@
         // Another engine goes on from the tokens, though it samples differently from the start.
         let mut stream = open(&second, 7, 4, &log, 40).await;
         assert!(read(&mut stream, &mut log, 41).await);
-        assert_eq!(TokenChain::new("one two three", &binding()).first_break(log.iter()), None);
+        assert_eq!(TokenChain::new("one two three", &binding()).first_mismatch(log.iter()), None);
         assert_eq!((second.counts().resumed, second.counts().work.decode), (1, 20));
     });
 }
@@ -120,7 +120,7 @@
         };
         assert_eq!(refused(90, &|_| {}).await, EndpointRefusal::Invalid);
         assert_eq!(refused(1, &|extension| extension.binding.version = "2".into()).await, EndpointRefusal::Unable);
-        engine.suffer(order(FaultKind::Leave));
+        engine.inject_fault(order(FaultKind::Leave));
         assert_eq!(refused(1, &|_| {}).await, EndpointRefusal::Busy);
         assert_eq!(client.load(engine.address(), LIMIT).await.unwrap().state, EndpointState::Leaving);
     });
@@ -142,15 +142,15 @@
         let seen = watch.await;
         assert_eq!((seen.changes[0].version, &seen.changes[0].value), (second, &Some(3.into())));
 
-        platform.suffer(order(FaultKind::LoseReply));
+        platform.inject_fault(order(FaultKind::LoseReply));
         let unanswered = client.put("config", "base", WriteCondition::Version(second), &4).await;
         assert_eq!(unanswered, Err(PlatformError::Unknown));
         let object = client.get("config", "base").await.unwrap();
         assert!(object.version > second && object.value == 4, "the write took effect");
 
-        platform.suffer(order(FaultKind::Outage));
+        platform.inject_fault(order(FaultKind::Outage));
         assert_eq!(client.get("config", "base").await, Err(PlatformError::Unavailable));
-        platform.suffer(order(FaultKind::Recover));
+        platform.inject_fault(order(FaultKind::Recover));
         assert_eq!(client.get("config", "base").await.unwrap(), object);
         assert_eq!((platform.counts().conflicts, client.writes()), (1, 4));
     });
