--- a/crates/hollyhook_standin/src/engine/engine_batch.rs
+++ b/crates/hollyhook_standin/src/engine/engine_batch.rs
@@ -10,37 +10,40 @@
 use super::sequence::{Sequence, SequenceState};
 use super::{EngineOptions, TokenChain};
 
-/// What an engine stand-in has done: `GET /admin/counts`.
+/// Work and events of an engine stand-in; the body of the answer to `GET /admin/counts`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCounts {
-    /// The work of all generations.
+    /// Work done for all generations, in tokens.
     pub work: EngineWork,
-    /// Generations started from their prompt alone.
+    /// Generations submitted without tokens to resume from.
     pub started: u64,
-    /// Generations started from tokens of another engine.
+    /// Generations resumed from tokens that were delivered before.
     pub resumed: u64,
-    /// Attachments to a generation that was there.
+    /// Streams attached to a generation that the engine already held.
     pub attached: u64,
-    /// Generations cancelled by an order.
+    /// Generations cancelled by a request.
     pub cancelled: u64,
-    /// Generations dropped since nobody was attached.
+    /// Unfinished generations dropped since no stream was attached for the grace period.
     pub orphaned: u64,
-    /// Generations brought to their end.
+    /// Generations that produced their last token here.
     pub finished: u64,
-    /// Generations that get tokens, now.
+    /// Generations that hold a slot of the batch at present.
     pub running: u32,
-    /// Probes answered.
+    /// Requests for the state of a generation, those for an unknown generation included.
     pub probes: u64,
 }
 
-/// The sequences of an engine and the batch that they share.
+/// The sequences that an engine holds, and the batch whose slots they share.
 #[derive(Debug)]
 pub(super) struct EngineBatch {
     options: EngineOptions,
     cache: PrefixCache,
     sequences: HashMap<GenerationId, Sequence>,
+    /// Sequences submitted so far.
     arrivals: u64,
+    /// Time at which the prompts admitted so far are processed; prompts are processed one after another.
     prefill_free_at: Instant,
+    /// Counts so far, without the running sequences and the work of the sequences that are still held.
     pub(super) counts: EngineCounts,
 }
 
@@ -57,7 +60,10 @@
         }
     }
 
-    /// Takes a request in, unless a newer attempt holds its generation or the queue is full.
+    /// Queues a generation and attaches a stream to it; the returned channel wakes the stream.
+    ///
+    /// An older attempt of the generation is replaced. Rejects a request for other weights, beyond the context length,
+    /// for an attempt that is not newer than that of the generation held, or when the queue is full.
     pub(super) fn submit(
         &mut self,
         request: &CallerRequest,
@@ -66,22 +72,23 @@
         if extension.binding != self.options.binding {
             return Err(EndpointRefusal::Unable);
         }
-        if request.prompt_tokens() + request.max_tokens > self.options.context {
+        if request.prompt_tokens() + request.max_tokens > self.options.context_tokens {
             return Err(EndpointRefusal::Invalid);
         }
-        let held = self.sequences.get(&extension.generation);
-        if held.is_some_and(|held| held.attempt >= extension.attempt) {
+        let existing = self.sequences.get(&extension.generation);
+        if existing.is_some_and(|existing| existing.attempt >= extension.attempt) {
             return Err(EndpointRefusal::Superseded);
         }
         let load = self.load();
-        if load.waiting >= self.options.queue {
+        if load.waiting >= self.options.queue_capacity {
             return Err(EndpointRefusal::Busy);
         }
         Ok(self.insert(request, extension))
     }
 
+    /// Adds a sequence in place of an older attempt's, and attaches a stream to it.
     fn insert(&mut self, request: &CallerRequest, extension: EngineExtension) -> Receiver<()> {
-        let (signal, _wake) = async_channel::bounded(1);
+        let (notifier, _notifications) = async_channel::bounded(1);
         if extension.resume_tokens.is_empty() {
             self.counts.started += 1;
         } else {
@@ -99,44 +106,46 @@
             max_tokens: request.max_tokens,
             tokens: Vec::new(),
             state: SequenceState::Waiting,
-            work: self.read_prompt(request, &extension.resume_tokens),
-            signal,
-            orphan_since: None,
+            work: self.prefill_work(request, &extension.resume_tokens),
+            notifier,
+            orphaned_at: None,
         };
         sequence.tokens = extension.resume_tokens;
-        let wake = sequence.attach(extension.attempt);
-        sequence.finish_if_whole();
-        sequence.wake();
+        let notifications = sequence.attach(extension.attempt);
+        sequence.finish_at_limit();
+        sequence.notify();
         if let Some(replaced) = self.sequences.insert(extension.generation, sequence) {
-            self.account(&replaced);
+            self.record_work(&replaced);
         }
-        wake
+        notifications
     }
 
-    /// The prefill that a prompt and the tokens behind it cost.
-    fn read_prompt(&mut self, request: &CallerRequest, resumed: &[Name]) -> EngineWork {
+    /// Calculates the prefill of a prompt and the tokens resumed after it, and adds both to the prefix cache.
+    fn prefill_work(&mut self, request: &CallerRequest, resumed: &[Name]) -> EngineWork {
         let prompt = request.prompt.split_whitespace();
         let all = prompt.chain(resumed.iter().map(|token| &**token));
         let total = request.prompt_tokens() + resumed.len() as u64;
-        let cached = self.cache.read(all) as u64;
+        let cached = self.cache.insert_prompt(all) as u64;
         EngineWork { prefill: total - cached, cached, decode: 0 }
     }
 
+    /// Attaches a stream in place of the current stream; rejects an attempt that is not newer than the current one.
     pub(super) fn attach(&mut self, id: GenerationId, attempt: AttemptNumber) -> Result<Receiver<()>, EndpointRefusal> {
         let sequence = self.sequences.get_mut(&id).ok_or(EndpointRefusal::NotHeld)?;
         if sequence.attempt >= attempt {
             return Err(EndpointRefusal::Superseded);
         }
         self.counts.attached += 1;
-        let wake = sequence.attach(attempt);
-        sequence.wake();
-        Ok(wake)
+        let notifications = sequence.attach(attempt);
+        sequence.notify();
+        Ok(notifications)
     }
 
     pub(super) fn get(&self, id: GenerationId) -> Option<&Sequence> {
         self.sequences.get(&id)
     }
 
+    /// Answers a probe for a generation.
     pub(super) fn state(&mut self, id: GenerationId) -> Option<GenerationState> {
         self.counts.probes += 1;
         self.sequences.get(&id).map(|sequence| GenerationState {
@@ -147,29 +156,29 @@
         })
     }
 
-    /// Stops the work for a generation, unless a newer attempt holds it; returns whether there was any.
+    /// Drops a generation unless its attempt is newer than `attempt`; returns whether a generation was dropped.
     pub(super) fn cancel(&mut self, id: GenerationId, attempt: AttemptNumber) -> bool {
         let is_held = self.sequences.get(&id).is_some_and(|sequence| sequence.attempt <= attempt);
         if is_held && let Some(sequence) = self.sequences.remove(&id) {
-            self.account(&sequence);
+            self.record_work(&sequence);
             self.counts.cancelled += 1;
         }
         is_held
     }
 
-    /// Notes that an attachment ended; the generation is kept for the grace time.
+    /// Records that the stream of `attempt` ended; the generation continues for the grace period.
     pub(super) fn detach(&mut self, id: GenerationId, attempt: AttemptNumber) {
         if let Some(sequence) = self.sequences.get_mut(&id)
             && sequence.attempt == attempt
         {
-            sequence.orphan_since.get_or_insert_with(Instant::now);
+            sequence.orphaned_at.get_or_insert_with(Instant::now);
         }
     }
 
-    /// One decode step: places are filled by priority, prompts are read one after the other.
+    /// Runs one decode step: drops orphans, fills free slots, and produces a token for each decoding sequence.
     pub(super) fn step(&mut self, now: Instant) {
-        self.drop_orphans(now);
-        self.fill_places(now);
+        self.evict_orphans(now);
+        self.fill_slots(now);
         for sequence in self.sequences.values_mut() {
             if let SequenceState::Prefill(until) = sequence.state
                 && until <= now
@@ -177,44 +186,48 @@
                 sequence.state = SequenceState::Decoding;
             }
             if sequence.state == SequenceState::Decoding {
-                sequence.step();
+                sequence.produce_token();
                 self.counts.finished += u64::from(sequence.is_finished());
             }
         }
     }
 
-    fn fill_places(&mut self, now: Instant) {
+    /// Moves queued sequences into free slots, by priority and then in order of submission.
+    fn fill_slots(&mut self, now: Instant) {
         let running = self.sequences.values().filter(|sequence| is_running(sequence)).count();
-        let places = (self.options.capacity as usize).saturating_sub(running);
+        let slots = (self.options.capacity as usize).saturating_sub(running);
         let mut waiting: Vec<&mut Sequence> =
             self.sequences.values_mut().filter(|sequence| sequence.state == SequenceState::Waiting).collect();
         waiting.sort_by_key(|sequence| (sequence.priority, sequence.arrival));
-        for sequence in waiting.into_iter().take(places) {
+        for sequence in waiting.into_iter().take(slots) {
             let cost = self.options.prefill_per_token * sequence.work.prefill as u32;
             self.prefill_free_at = self.prefill_free_at.max(now) + cost;
             sequence.state = SequenceState::Prefill(self.prefill_free_at);
         }
     }
 
-    fn drop_orphans(&mut self, now: Instant) {
+    /// Drops the sequences to which no stream has been attached for longer than the grace period.
+    fn evict_orphans(&mut self, now: Instant) {
         let grace = self.options.orphan_grace;
-        let is_lost = |sequence: &Sequence| is_past(sequence.orphan_since, now, grace);
-        let lost: Vec<GenerationId> =
-            self.sequences.iter().filter(|(_, sequence)| is_lost(sequence)).map(|(id, _)| *id).collect();
-        for id in lost {
+        let is_abandoned = |sequence: &Sequence| is_expired(sequence.orphaned_at, now, grace);
+        let abandoned: Vec<GenerationId> =
+            self.sequences.iter().filter(|(_, sequence)| is_abandoned(sequence)).map(|(id, _)| *id).collect();
+        for id in abandoned {
             if let Some(sequence) = self.sequences.remove(&id) {
                 self.counts.orphaned += u64::from(!sequence.is_finished());
-                self.account(&sequence);
+                self.record_work(&sequence);
             }
         }
     }
 
-    fn account(&mut self, sequence: &Sequence) {
+    /// Adds the work of a sequence that is no longer held to the counts.
+    fn record_work(&mut self, sequence: &Sequence) {
         self.counts.work.prefill += sequence.work.prefill;
         self.counts.work.cached += sequence.work.cached;
         self.counts.work.decode += sequence.work.decode;
     }
 
+    /// The load at present.
     pub(super) fn load(&self) -> LoadReport {
         let count = |is_counted: fn(&Sequence) -> bool| {
             self.sequences.values().filter(|sequence| is_counted(sequence)).count() as u32
@@ -226,6 +239,7 @@
         }
     }
 
+    /// The counts with the running sequences and the work of the sequences still held.
     pub(super) fn total_counts(&self) -> EngineCounts {
         let mut counts = self.counts;
         counts.running = self.load().running;
@@ -237,9 +251,9 @@
         counts
     }
 
-    /// Wakes every attachment, so that each sees a fault.
-    pub(super) fn wake_all(&self) {
-        self.sequences.values().for_each(Sequence::wake);
+    /// Wakes every attached stream, so that it observes an injected fault.
+    pub(super) fn notify_all(&self) {
+        self.sequences.values().for_each(Sequence::notify);
     }
 }
 
@@ -247,6 +261,6 @@
     matches!(sequence.state, SequenceState::Prefill(_) | SequenceState::Decoding)
 }
 
-fn is_past(since: Option<Instant>, now: Instant, grace: Duration) -> bool {
+fn is_expired(since: Option<Instant>, now: Instant, grace: Duration) -> bool {
     since.is_some_and(|since| now.duration_since(since) > grace)
 }
--- a/crates/hollyhook_standin/src/engine/engine_shared.rs
+++ b/crates/hollyhook_standin/src/engine/engine_shared.rs
@@ -8,18 +8,20 @@
 use super::engine_batch::EngineBatch;
 use crate::fault::{FaultCommand, FaultKind, FaultState};
 
-/// What an engine's routes, its streams and its steps share.
+/// State that the HTTP routes, the stream tasks and the batch task of an engine share.
 #[derive(Debug)]
 pub(super) struct EngineShared {
     pub(super) options: EngineOptions,
     pub(super) batch: Mutex<EngineBatch>,
     pub(super) faults: Arc<FaultState>,
-    /// Grows with each fault that ends the streams that are open.
+    /// Number of `Cut` faults so far; each closes the streams that are open.
     pub(super) cut_epoch: AtomicU64,
+    /// Number of `Silence` faults so far; each silences the streams that are open.
     pub(super) silence_epoch: AtomicU64,
     pub(super) is_leaving: AtomicBool,
-    pub(super) is_lying: AtomicBool,
-    pub(super) reported: Mutex<LoadReport>,
+    pub(super) is_load_hidden: AtomicBool,
+    /// The load as of the last refresh.
+    pub(super) reported_load: Mutex<LoadReport>,
 }
 
 impl EngineShared {
@@ -27,8 +29,9 @@
         self.batch.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn inject_fault(&self, order: FaultCommand) {
-        match order.kind {
+    /// Applies a fault and wakes all streams, so that they observe it.
+    pub(super) fn inject_fault(&self, command: FaultCommand) {
+        match command.kind {
             FaultKind::Silence => {
                 self.silence_epoch.fetch_add(1, Ordering::SeqCst);
             }
@@ -37,17 +40,17 @@
             }
             FaultKind::Leave => self.is_leaving.store(true, Ordering::SeqCst),
             FaultKind::Return => self.is_leaving.store(false, Ordering::SeqCst),
-            FaultKind::LieIdle => self.is_lying.store(true, Ordering::SeqCst),
-            _ => self.faults.apply(order),
+            FaultKind::LieIdle => self.is_load_hidden.store(true, Ordering::SeqCst),
+            _ => self.faults.apply(command),
         }
-        self.batch().wake_all();
+        self.batch().notify_all();
     }
 
-    /// What it says of itself: as old as the lag, or a lie.
+    /// The report of the engine's load, as of the last refresh or without generations if `LieIdle` is in effect.
     pub(super) fn load(&self) -> EngineLoad {
-        let reported = *self.reported.lock().unwrap_or_else(PoisonError::into_inner);
-        let is_lying = self.is_lying.load(Ordering::SeqCst);
-        let load = if is_lying { LoadReport { running: 0, waiting: 0, ..reported } } else { reported };
+        let reported_load = *self.reported_load.lock().unwrap_or_else(PoisonError::into_inner);
+        let is_hidden = self.is_load_hidden.load(Ordering::SeqCst);
+        let load = if is_hidden { LoadReport { running: 0, waiting: 0, ..reported_load } } else { reported_load };
         EngineLoad { binding: self.options.binding.clone(), state: self.endpoint_state(), load }
     }
 
--- a/crates/hollyhook_standin/src/engine/engine_stand_in.rs
+++ b/crates/hollyhook_standin/src/engine/engine_stand_in.rs
@@ -15,12 +15,12 @@
 
 use super::engine_batch::EngineBatch;
 use super::engine_shared::EngineShared;
-use super::stream_pump::StreamPump;
+use super::stream_task::StreamTask;
 use super::{EngineCounts, EngineOptions};
 use crate::fault::{FaultCommand, FaultState, serve};
 
-/// Pieces that a stream may be ahead of its reader.
-const FEED_CAPACITY: usize = 64;
+/// Chunks of a stream that are buffered for a reader that is behind.
+const STREAM_BUFFER_CHUNKS: usize = 64;
 
 /// A running engine stand-in.
 #[derive(Debug, Clone)]
@@ -30,11 +30,11 @@
 }
 
 impl EngineStandIn {
-    /// Starts an engine at `address`; port 0 takes a free one.
+    /// Starts the stand-in and listens on `address`; with port 0 the system picks a free port.
     ///
     /// # Errors
     ///
-    /// `InvalidSetting` if the address can't be listened at.
+    /// `InvalidSetting` if the stand-in can't listen on `address`.
     pub fn start(address: SocketAddr, options: EngineOptions) -> Result<Self> {
         let server = HttpServer::bind(address, ServerLimits::default().idle_timeout(Duration::from_mins(10)))?;
         let faults = Arc::new(FaultState::new(server.gate(), options.is_own_process));
@@ -47,32 +47,33 @@
             cut_epoch: AtomicU64::new(0),
             silence_epoch: AtomicU64::new(0),
             is_leaving: AtomicBool::new(false),
-            is_lying: AtomicBool::new(false),
-            reported: Mutex::new(LoadReport { capacity, ..LoadReport::default() }),
+            is_load_hidden: AtomicBool::new(false),
+            reported_load: Mutex::new(LoadReport { capacity, ..LoadReport::default() }),
         });
-        task::spawn(run_steps(Arc::clone(&shared)));
-        task::spawn(run_reports(Arc::clone(&shared)));
+        task::spawn(run_batch(Arc::clone(&shared)));
+        task::spawn(refresh_load(Arc::clone(&shared)));
         task::spawn(serve(server, routes(Arc::clone(&shared)), faults));
         Ok(Self { address, shared })
     }
 
-    /// Where it listens.
+    /// The address that the stand-in listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it has done.
+    /// The work and events so far.
     pub fn counts(&self) -> EngineCounts {
         self.shared.batch().total_counts()
     }
 
-    /// Lets it suffer a fault.
-    pub fn inject_fault(&self, order: FaultCommand) {
-        self.shared.inject_fault(order);
+    /// Injects a fault, as `POST /admin/fault` does.
+    pub fn inject_fault(&self, command: FaultCommand) {
+        self.shared.inject_fault(command);
     }
 }
 
-async fn run_steps(shared: Arc<EngineShared>) {
+/// Runs the decode steps at a fixed rate until the engine dies; after a pause the steps missed are not made up for.
+async fn run_batch(shared: Arc<EngineShared>) {
     let mut next = Instant::now();
     while !shared.faults.is_dead() {
         next += shared.options.step;
@@ -85,10 +86,11 @@
     }
 }
 
-async fn run_reports(shared: Arc<EngineShared>) {
+/// Copies the batch's load to the reported load every `load_lag`.
+async fn refresh_load(shared: Arc<EngineShared>) {
     while !shared.faults.is_dead() {
         let load = shared.batch().load();
-        *shared.reported.lock().unwrap_or_else(PoisonError::into_inner) = load;
+        *shared.reported_load.lock().unwrap_or_else(PoisonError::into_inner) = load;
         task::sleep(shared.options.load_lag).await;
     }
 }
@@ -110,7 +112,7 @@
     let bytes = request.body_bytes().await?;
     let shared = Arc::clone(request.state());
     if shared.is_leaving.load(Ordering::SeqCst) {
-        return Ok(refuse(EndpointRefusal::Busy));
+        return Ok(refusal_response(EndpointRefusal::Busy));
     }
     let parsed = CallerRequest::parse(style, &bytes).and_then(|caller| {
         let extension = caller.body.get("hollyhook").cloned().unwrap_or_default();
@@ -126,8 +128,8 @@
     let from = extension.resume_tokens.len();
     let submitted = shared.batch().submit(&caller, extension);
     match submitted {
-        Ok(wake) => Ok(stream(shared, id, attempt, from, wake)),
-        Err(refusal) => Ok(refuse(refusal)),
+        Ok(notifications) => Ok(stream_response(shared, id, attempt, from, notifications)),
+        Err(refusal) => Ok(refusal_response(refusal)),
     }
 }
 
@@ -139,24 +141,24 @@
     }
     let shared = Arc::clone(request.state());
     let Ok(id) = GenerationId::from_str(request.param("id")?) else {
-        return Ok(refuse(EndpointRefusal::NotHeld));
+        return Ok(refusal_response(EndpointRefusal::NotHeld));
     };
     let query: AttachQuery = request.query()?;
     let attached = shared.batch().attach(id, query.attempt);
     match attached {
-        Ok(wake) => Ok(stream(shared, id, query.attempt, query.from, wake)),
-        Err(refusal) => Ok(refuse(refusal)),
+        Ok(notifications) => Ok(stream_response(shared, id, query.attempt, query.from, notifications)),
+        Err(refusal) => Ok(refusal_response(refusal)),
     }
 }
 
 async fn state(request: Request<Arc<EngineShared>>) -> tide::Result {
     let Ok(id) = GenerationId::from_str(request.param("id")?) else {
-        return Ok(refuse(EndpointRefusal::NotHeld));
+        return Ok(refusal_response(EndpointRefusal::NotHeld));
     };
     let state = request.state().batch().state(id);
     match state {
-        Some(state) => json(&state),
-        None => Ok(refuse(EndpointRefusal::NotHeld)),
+        Some(state) => json_response(&state),
+        None => Ok(refusal_response(EndpointRefusal::NotHeld)),
     }
 }
 
@@ -166,29 +168,29 @@
         attempt: AttemptNumber,
     }
     let Ok(id) = GenerationId::from_str(request.param("id")?) else {
-        return Ok(refuse(EndpointRefusal::NotHeld));
+        return Ok(refusal_response(EndpointRefusal::NotHeld));
     };
     let query: CancelQuery = request.query()?;
     let was_held = request.state().batch().cancel(id, query.attempt);
-    Ok(if was_held { Response::new(StatusCode::Ok) } else { refuse(EndpointRefusal::NotHeld) })
+    Ok(if was_held { Response::new(StatusCode::Ok) } else { refusal_response(EndpointRefusal::NotHeld) })
 }
 
 async fn load(request: Request<Arc<EngineShared>>) -> tide::Result {
-    json(&request.state().load())
+    json_response(&request.state().load())
 }
 
 async fn counts(request: Request<Arc<EngineShared>>) -> tide::Result {
     let counts = request.state().batch().total_counts();
-    json(&counts)
+    json_response(&counts)
 }
 
 async fn fault(mut request: Request<Arc<EngineShared>>) -> tide::Result {
-    let order: FaultCommand = request.body_json().await?;
-    request.state().inject_fault(order);
+    let command: FaultCommand = request.body_json().await?;
+    request.state().inject_fault(command);
     Ok(Response::new(StatusCode::Ok))
 }
 
-fn refuse(refusal: EndpointRefusal) -> Response {
+fn refusal_response(refusal: EndpointRefusal) -> Response {
     Response::new(match refusal {
         EndpointRefusal::Busy => StatusCode::ServiceUnavailable,
         EndpointRefusal::Unable => StatusCode::UnprocessableEntity,
@@ -198,20 +200,21 @@
     })
 }
 
-fn json(value: &impl serde::Serialize) -> tide::Result {
+fn json_response(value: &impl serde::Serialize) -> tide::Result {
     Ok(Response::builder(StatusCode::Ok).body(tide::Body::from_json(value)?).build())
 }
 
-fn stream(
+/// Builds the response that streams a generation's tokens from a position on, and spawns the task that sends them.
+fn stream_response(
     shared: Arc<EngineShared>,
     id: GenerationId,
     attempt: AttemptNumber,
     from: usize,
-    wake: Receiver<()>,
+    notifications: Receiver<()>,
 ) -> Response {
-    let (feed, body) = feed_body(FEED_CAPACITY);
+    let (sender, body) = feed_body(STREAM_BUFFER_CHUNKS);
     let load = serde_json::to_string(&shared.load()).unwrap_or_default();
-    let pump = StreamPump::new(shared, id, attempt, from);
-    task::spawn(pump.run(feed, wake));
+    let stream_task = StreamTask::new(shared, id, attempt, from);
+    task::spawn(stream_task.run(sender, notifications));
     Response::builder(StatusCode::Ok).content_type("text/event-stream").header(LOAD_FIELD, load).body(body).build()
 }
--- a/crates/hollyhook_standin/src/engine/prefix_cache.rs
+++ b/crates/hollyhook_standin/src/engine/prefix_cache.rs
@@ -1,24 +1,27 @@
 use std::collections::{HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Tokens in one block of the cache.
-const BLOCK: usize = 16;
+/// Tokens per block; only whole blocks are cached.
+const BLOCK_TOKENS: usize = 16;
 
-/// Remembers the prefixes of prompts by blocks, the oldest forgotten first.
+/// Hashes of prompt prefixes whose length is a whole number of blocks.
+///
+/// Beyond the capacity the hashes inserted first are evicted; a hit does not defer eviction.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
-    limit: usize,
+    max_blocks: usize,
     blocks: HashSet<u64>,
-    order: VecDeque<u64>,
+    insertion_order: VecDeque<u64>,
 }
 
 impl PrefixCache {
+    /// Creates a cache with a capacity of that many tokens, rounded down to whole blocks.
     pub(super) fn new(tokens: usize) -> Self {
-        Self { limit: tokens / BLOCK, blocks: HashSet::new(), order: VecDeque::new() }
+        Self { max_blocks: tokens / BLOCK_TOKENS, blocks: HashSet::new(), insertion_order: VecDeque::new() }
     }
 
-    /// The number of leading tokens that are cached; all of them are, afterwards.
-    pub(super) fn read<'t>(&mut self, tokens: impl Iterator<Item = &'t str>) -> usize {
+    /// Returns the number of leading tokens that were cached, and caches the whole blocks of the prompt.
+    pub(super) fn insert_prompt<'t>(&mut self, tokens: impl Iterator<Item = &'t str>) -> usize {
         let mut hasher = DefaultHasher::new();
         let mut hit = 0;
         let mut is_prefix = true;
@@ -26,7 +29,7 @@
         for token in tokens {
             token.hash(&mut hasher);
             count += 1;
-            if count % BLOCK > 0 {
+            if count % BLOCK_TOKENS > 0 {
                 continue;
             }
             let block = hasher.finish();
@@ -34,18 +37,18 @@
             if is_prefix {
                 hit = count;
             } else {
-                self.insert(block);
+                self.insert_block(block);
             }
         }
         hit
     }
 
-    fn insert(&mut self, block: u64) {
+    fn insert_block(&mut self, block: u64) {
         if self.blocks.insert(block) {
-            self.order.push_back(block);
+            self.insertion_order.push_back(block);
         }
-        while self.order.len() > self.limit {
-            if let Some(oldest) = self.order.pop_front() {
+        while self.insertion_order.len() > self.max_blocks {
+            if let Some(oldest) = self.insertion_order.pop_front() {
                 self.blocks.remove(&oldest);
             }
         }
--- a/crates/hollyhook_standin/src/engine/sequence.rs
+++ b/crates/hollyhook_standin/src/engine/sequence.rs
@@ -6,20 +6,20 @@
 
 use super::TokenChain;
 
-/// Where a sequence stands in the batch.
+/// Stage of a sequence in the batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SequenceState {
-    /// Waits for a place.
+    /// Queued for a slot of the batch.
     Waiting,
-    /// Has a place and reads its prompt until then.
+    /// Holds a slot while its prompt is processed, which takes until this time.
     Prefill(Instant),
-    /// Gets a token each step.
+    /// Holds a slot and produces one token in each decode step.
     Decoding,
-    /// Has reached its end, or was cancelled.
+    /// Has produced all its tokens; its slot is free.
     Finished,
 }
 
-/// One generation at the engine.
+/// A generation that the engine holds.
 #[derive(Debug)]
 pub(super) struct Sequence {
     pub(super) style: ApiStyle,
@@ -27,30 +27,32 @@
     pub(super) salt: u64,
     pub(super) attempt: AttemptNumber,
     pub(super) priority: u8,
+    /// Number of the sequence in order of submission.
     pub(super) arrival: u64,
     pub(super) prompt_tokens: u64,
     pub(super) max_tokens: u64,
+    /// The output so far, the tokens that it was resumed with included.
     pub(super) tokens: Vec<Name>,
     pub(super) state: SequenceState,
     pub(super) work: EngineWork,
-    /// Wakes the newest attachment; an older one ends when it is replaced.
-    pub(super) signal: Sender<()>,
-    /// Since when nobody is attached.
-    pub(super) orphan_since: Option<Instant>,
+    /// Wakes the stream that is attached. Replacing the sender closes its channel, which ends an older stream.
+    pub(super) notifier: Sender<()>,
+    /// Time since which no stream has been attached, if none is.
+    pub(super) orphaned_at: Option<Instant>,
 }
 
 impl Sequence {
-    /// Replaces the attachment.
+    /// Attaches a stream for `attempt` in place of the current stream; the returned channel wakes the new stream.
     pub(super) fn attach(&mut self, attempt: AttemptNumber) -> Receiver<()> {
-        let (signal, wake) = async_channel::bounded(1);
+        let (notifier, notifications) = async_channel::bounded(1);
         self.attempt = attempt;
-        self.signal = signal;
-        self.orphan_since = None;
-        wake
+        self.notifier = notifier;
+        self.orphaned_at = None;
+        notifications
     }
 
     /// Produces one token.
-    pub(super) fn step(&mut self) {
+    pub(super) fn produce_token(&mut self) {
         let position = self.tokens.len() as u64;
         let token = match self.tokens.last() {
             Some(previous) => self.chain.next(position, previous),
@@ -58,19 +60,21 @@
         };
         self.tokens.push(token.into());
         self.work.decode += 1;
-        self.finish_if_whole();
-        self.wake();
+        self.finish_at_limit();
+        self.notify();
     }
 
-    pub(super) fn finish_if_whole(&mut self) {
+    /// Finishes the sequence if its output has the requested length.
+    pub(super) fn finish_at_limit(&mut self) {
         if self.tokens.len() as u64 >= self.max_tokens {
             self.state = SequenceState::Finished;
         }
     }
 
-    pub(super) fn wake(&self) {
-        // A full channel has a wake in it already.
-        let _pending = self.signal.try_send(());
+    /// Wakes the attached stream.
+    pub(super) fn notify(&self) {
+        // If the channel is full, a notification is pending already.
+        let _pending = self.notifier.try_send(());
     }
 
     pub(super) fn is_finished(&self) -> bool {
--- a/crates/hollyhook_standin/src/engine/stream_pump.rs
+++ b/crates/hollyhook_standin/src/engine/stream_task.rs
@@ -11,8 +11,8 @@
 use super::engine_shared::EngineShared;
 use super::sequence::Sequence;
 
-/// Moves the tokens of one sequence to one attachment.
-pub(super) struct StreamPump {
+/// Sends the tokens of a sequence to the client of one stream attached to the sequence.
+pub(super) struct StreamTask {
     shared: Arc<EngineShared>,
     id: GenerationId,
     attempt: AttemptNumber,
@@ -21,8 +21,8 @@
     silence_epoch: u64,
 }
 
-impl StreamPump {
-    /// A pump for an attachment from a position on, which sees the faults that come from now on.
+impl StreamTask {
+    /// Creates a task that sends the tokens from `position` on, and that stream faults injected from now on affect.
     pub(super) fn new(shared: Arc<EngineShared>, id: GenerationId, attempt: AttemptNumber, position: usize) -> Self {
         Self {
             cut_epoch: shared.cut_epoch.load(Ordering::SeqCst),
@@ -34,16 +34,21 @@
         }
     }
 
-    pub(super) async fn run(mut self, feed: BodyFeed, wake: Receiver<()>) {
-        self.pump(&feed, &wake).await;
+    /// Sends the tokens until the stream ends, then detaches the stream from its sequence.
+    pub(super) async fn run(mut self, sender: BodyFeed, notifications: Receiver<()>) {
+        self.send_events(&sender, &notifications).await;
         self.shared.batch().detach(self.id, self.attempt);
     }
 
-    async fn pump(&mut self, feed: &BodyFeed, wake: &Receiver<()>) {
+    /// Sends the new events at each notification.
+    ///
+    /// Returns at the end of the generation, when the client disconnects, when the sequence is dropped or another
+    /// stream replaces this stream, or at a fault that closes the stream.
+    async fn send_events(&mut self, sender: &BodyFeed, notifications: &Receiver<()>) {
         loop {
-            let woken = std::pin::pin!(wake.recv());
-            let closed = std::pin::pin!(feed.closed());
-            match select(woken, closed).await {
+            let notified = std::pin::pin!(notifications.recv());
+            let closed = std::pin::pin!(sender.closed());
+            match select(notified, closed).await {
                 Either::Left((Ok(()), _)) => {}
                 _ => return,
             }
@@ -52,22 +57,22 @@
                 return;
             }
             if self.silence_epoch != self.shared.silence_epoch.load(Ordering::SeqCst) {
-                // Neither data nor an end ever comes out of it again.
-                feed.closed().await;
+                // A silenced stream stays open without further data until its client disconnects.
+                sender.closed().await;
                 return;
             }
-            let (events, is_end) = self.render();
-            if !events.is_empty() && !feed.send(events).await {
+            let (events, is_complete) = self.take_events();
+            if !events.is_empty() && !sender.send(events).await {
                 return;
             }
-            if is_end {
+            if is_complete {
                 return;
             }
         }
     }
 
-    /// The events that are due, and whether the end is among them.
-    fn render(&mut self) -> (Vec<u8>, bool) {
+    /// Returns the events not yet sent, and whether the stream ends after them.
+    fn take_events(&mut self) -> (Vec<u8>, bool) {
         let batch = self.shared.batch();
         let Some(sequence) = batch.get(self.id) else {
             return (Vec::new(), true);
@@ -77,12 +82,12 @@
             push_event(&mut events, index, &token_chunk(sequence.style, token));
         }
         self.position = self.position.max(sequence.tokens.len());
-        let is_end = sequence.is_finished() && sequence.tokens.len() as u64 >= sequence.max_tokens;
-        if is_end {
+        let is_complete = sequence.is_finished() && sequence.tokens.len() as u64 >= sequence.max_tokens;
+        if is_complete {
             push_event(&mut events, sequence.tokens.len(), &end_chunk(sequence));
             events.push_str("data: [DONE]\n\n");
         }
-        (events.into_bytes(), is_end)
+        (events.into_bytes(), is_complete)
     }
 }
 
--- a/crates/hollyhook_standin/src/engine/token_chain.rs
+++ b/crates/hollyhook_standin/src/engine/token_chain.rs
@@ -9,17 +9,18 @@
     "ve", "vi", "vo", "wa", "we", "wi", "wo",
 ];
 
-/// The tokens of one generation, each a function of the prompt, the weights, its position and the token before.
+/// Generator of pseudorandom tokens, each a function of the prompt, the weights, its position and the previous token.
 ///
-/// Only the first depends on the salt that an engine draws. So a whole answer is known by its links, and two
-/// generations of one request, which mostly begin differently, can't be mixed without a broken link.
+/// The first token depends on the engine's salt instead of a previous token. So a complete answer can be verified
+/// token by token, and tokens of two generations of a request, which mostly begin differently, can't be mixed without
+/// a mismatch.
 #[derive(Debug, Clone)]
 pub struct TokenChain {
     seed: u64,
 }
 
 impl TokenChain {
-    /// The chain for a prompt and weights.
+    /// The chain for a prompt and the weights that `binding` names.
     pub fn new(prompt: &str, binding: &ModelBinding) -> Self {
         let mut hasher = DefaultHasher::new();
         prompt.hash(&mut hasher);
@@ -27,17 +28,19 @@
         Self { seed: hasher.finish() }
     }
 
-    /// The first token, for the salt drawn.
+    /// The token at position 0, for an engine's salt.
     pub fn first(&self, salt: u64) -> String {
-        self.word(0, &salt.to_string())
+        self.derive_token(0, &salt.to_string())
     }
 
-    /// The token at `position`, from 1, behind `previous`.
+    /// The token at `position`, at least 1, that follows `previous`.
     pub fn next(&self, position: u64, previous: &str) -> String {
-        self.word(position, previous)
+        self.derive_token(position, previous)
     }
 
-    /// The position of the first token that does not follow from the one before; none if the answer is whole.
+    /// Returns the position of the first token that does not follow from the previous token, or `None` if all do.
+    ///
+    /// The first token is not checked, as it depends on the engine's salt.
     pub fn first_mismatch<'t>(&self, tokens: impl IntoIterator<Item = &'t str>) -> Option<u64> {
         let mut previous: Option<&str> = None;
         for (position, token) in tokens.into_iter().enumerate() {
@@ -50,7 +53,7 @@
         None
     }
 
-    fn word(&self, position: u64, previous: &str) -> String {
+    fn derive_token(&self, position: u64, previous: &str) -> String {
         let mut hasher = DefaultHasher::new();
         (self.seed, position, previous).hash(&mut hasher);
         let bits = hasher.finish();
--- a/crates/hollyhook_standin/src/fault/fault_command.rs
+++ b/crates/hollyhook_standin/src/fault/fault_command.rs
@@ -3,43 +3,47 @@
 /// The body of `POST /admin/fault`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FaultCommand {
-    /// What is to happen.
+    /// The fault to inject or to end.
     pub kind: FaultKind,
-    /// Milliseconds, where the kind takes a time.
+    /// The duration in milliseconds of a [`FaultKind::Delay`]; other kinds ignore it.
     #[serde(default)]
     pub millis: u64,
-    /// How often, where the kind takes a number.
+    /// The number of replies that a [`FaultKind::LoseReply`] loses, at least 1; other kinds ignore it.
     #[serde(default)]
     pub count: u64,
 }
 
-/// What a stand-in can be told to suffer.
+/// A fault that a stand-in can inject.
+///
+/// All stand-ins implement `Die`, `Pause`, `Wake` and `Delay`. `Silence`, `Cut`, `Leave`, `Return` and `LieIdle` only
+/// affect an engine; `Outage`, `Recover` and `LoseReply` only a plain service and the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[non_exhaustive]
 pub enum FaultKind {
-    /// End without a word; every connection breaks.
+    /// Exit without answering, or refuse connections and close streams if the stand-in shares its process.
     Die,
-    /// Stop doing anything; connections stay open.
+    /// Hold back new requests, streams and token production until a `Wake`; connections stay open.
     Pause,
     /// End a pause.
     Wake,
-    /// Let every open stream go silent for good; new connections work.
+    /// Send nothing more on the streams open now, without closing them; new connections work.
     Silence,
-    /// Break every open stream; what was being produced goes on.
+    /// Close the streams open now; their generations continue.
     Cut,
-    /// Take no new work and finish what there is.
+    /// Drain: reject new generations and finish those that were admitted.
     Leave,
-    /// Take new work again.
+    /// End a drain: admit new generations again.
     Return,
-    /// Answer each request that many milliseconds later.
+    /// Delay each request by `millis` milliseconds from now on; 0 ends the delay.
     Delay,
-    /// Report no load at all.
+    /// Report neither running nor waiting generations from now on, whatever the load is.
     LieIdle,
-    /// Refuse everything, as in an outage.
+    /// Answer every call with status 503.
     Outage,
     /// End an outage.
     Recover,
-    /// Do the next `count` writes or calls, but break the connection instead of answering.
+    /// Execute the next `count` service calls or successful platform writes, but close the connection instead of
+    /// answering.
     LoseReply,
 }
--- a/crates/hollyhook_standin/src/fault/fault_state.rs
+++ b/crates/hollyhook_standin/src/fault/fault_state.rs
@@ -8,18 +8,18 @@
 
 use super::{FaultCommand, FaultKind};
 
-/// A header that tells the server to break the connection instead of answering.
+/// Response header that makes [`serve`] close the connection instead of sending the response.
 const CUT_HEADER: &str = "x-stand-in-cut";
-const PAUSE_POLL: Duration = Duration::from_millis(5);
+const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The faults that any stand-in can suffer.
+/// The faults in effect at a stand-in, of the kinds that are not particular to engines.
 #[derive(Debug)]
 pub(crate) struct FaultState {
     gate: ConnectionGate,
     is_own_process: bool,
     is_dead: AtomicBool,
     is_paused: AtomicBool,
-    is_out: AtomicBool,
+    has_outage: AtomicBool,
     delay_ms: AtomicU64,
     replies_to_lose: AtomicU64,
 }
@@ -31,26 +31,27 @@
             is_own_process,
             is_dead: AtomicBool::new(false),
             is_paused: AtomicBool::new(false),
-            is_out: AtomicBool::new(false),
+            has_outage: AtomicBool::new(false),
             delay_ms: AtomicU64::new(0),
             replies_to_lose: AtomicU64::new(0),
         }
     }
 
-    /// Applies what concerns every stand-in.
-    pub(crate) fn apply(&self, order: FaultCommand) {
-        match order.kind {
+    /// Applies a fault; ignores the kinds that only engines implement.
+    pub(crate) fn apply(&self, command: FaultCommand) {
+        match command.kind {
             FaultKind::Die => self.die(),
             FaultKind::Pause => self.is_paused.store(true, Ordering::SeqCst),
             FaultKind::Wake => self.is_paused.store(false, Ordering::SeqCst),
-            FaultKind::Outage => self.is_out.store(true, Ordering::SeqCst),
-            FaultKind::Recover => self.is_out.store(false, Ordering::SeqCst),
-            FaultKind::Delay => self.delay_ms.store(order.millis, Ordering::SeqCst),
-            FaultKind::LoseReply => self.replies_to_lose.store(order.count.max(1), Ordering::SeqCst),
+            FaultKind::Outage => self.has_outage.store(true, Ordering::SeqCst),
+            FaultKind::Recover => self.has_outage.store(false, Ordering::SeqCst),
+            FaultKind::Delay => self.delay_ms.store(command.millis, Ordering::SeqCst),
+            FaultKind::LoseReply => self.replies_to_lose.store(command.count.max(1), Ordering::SeqCst),
             _ => {}
         }
     }
 
+    /// Exits a process of its own with status 137; otherwise stops accepting connections and answering requests.
     pub(crate) fn die(&self) {
         if self.is_own_process {
             std::process::exit(137);
@@ -67,18 +68,18 @@
         self.is_paused.load(Ordering::SeqCst)
     }
 
-    pub(crate) fn is_out(&self) -> bool {
-        self.is_out.load(Ordering::SeqCst)
+    pub(crate) fn has_outage(&self) -> bool {
+        self.has_outage.load(Ordering::SeqCst)
     }
 
-    /// Whether this reply is one to lose.
-    pub(crate) fn loses_reply(&self) -> bool {
-        let less = |left: u64| left.checked_sub(1);
-        self.replies_to_lose.fetch_update(Ordering::SeqCst, Ordering::SeqCst, less).is_ok()
+    /// Returns whether the current reply is to be lost, and counts it off the replies still to be lost.
+    pub(crate) fn take_lost_reply(&self) -> bool {
+        let decremented = |left: u64| left.checked_sub(1);
+        self.replies_to_lose.fetch_update(Ordering::SeqCst, Ordering::SeqCst, decremented).is_ok()
     }
 
-    /// Waits out a pause and the delay.
-    pub(crate) async fn wait(&self) {
+    /// Sleeps for the injected delay, then waits until no pause is in effect.
+    pub(crate) async fn delay_request(&self) {
         let delay = self.delay_ms.load(Ordering::SeqCst);
         if delay > 0 {
             task::sleep(Duration::from_millis(delay)).await;
@@ -86,19 +87,22 @@
         self.wait_pause().await;
     }
 
+    /// Waits until no pause is in effect.
     pub(crate) async fn wait_pause(&self) {
         while self.is_paused() {
-            task::sleep(PAUSE_POLL).await;
+            task::sleep(PAUSE_POLL_INTERVAL).await;
         }
     }
 }
 
-/// An answer that breaks the connection instead.
-pub(crate) fn cut_connection() -> Response {
+/// Builds a response that makes [`serve`] close the connection without an answer.
+pub(crate) fn cut_response() -> Response {
     Response::builder(500).header(CUT_HEADER, "1").build()
 }
 
-/// Serves an app until its gate drains.
+/// Serves `app` with the injected faults until the server's gate drains.
+///
+/// Requests below `/admin/` are neither delayed nor paused, so that a pause can be ended.
 pub(crate) async fn serve<S: Clone + Send + Sync + 'static>(
     server: HttpServer,
     app: Server<S>,
@@ -110,11 +114,11 @@
         async move {
             let is_admin = request.url().path().starts_with("/admin/");
             if !is_admin {
-                faults.wait().await;
+                faults.delay_request().await;
             }
             let response: http_types::Response = app.respond(request).await?;
             if response.header(CUT_HEADER).is_some() || faults.is_dead() {
-                return Err(http_types::Error::from_str(500, "the connection is cut"));
+                return Err(http_types::Error::from_str(500, "an injected fault closed the connection"));
             }
             Ok(response)
         }
--- a/crates/hollyhook_standin/src/fault/mod.rs
+++ b/crates/hollyhook_standin/src/fault/mod.rs
@@ -1,7 +1,7 @@
-//! Faults that a stand-in takes by an admin call.
+//! Fault injection: the faults that a stand-in accepts at `POST /admin/fault`, and their effects.
 
 mod fault_command;
 mod fault_state;
 
 pub use fault_command::{FaultCommand, FaultKind};
-pub(crate) use fault_state::{FaultState, cut_connection, serve};
+pub(crate) use fault_state::{FaultState, cut_response, serve};
--- a/crates/hollyhook_standin/src/lib.rs
+++ b/crates/hollyhook_standin/src/lib.rs
@@ -1,7 +1,8 @@
-//! Small stand-ins for what hollyhook serves: a model engine, a plain service and the platform.
+//! Small stand-ins for the systems that hollyhook works with: a model engine, a plain service and the platform.
 //!
-//! They speak the published protocols, count the work they did, and take faults by an admin call. They run as
-//! processes of their own through `hollyhook stand-in`, or within the demo's process.
+//! The stand-ins implement the published protocols, count the work that they do, and accept faults to inject at
+//! `POST /admin/fault`. Each runs as a process of its own (`hollyhook stand-in`) or inside another process, such as
+//! the demo's.
 
 mod engine;
 mod fault;
--- a/crates/hollyhook_standin/src/platform/mod.rs
+++ b/crates/hollyhook_standin/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's object API: versions, conditional updates and watches, in memory.
+//! Stand-in of the platform's object API, in memory: versions, conditional writes and watches.
 
 mod object_store;
 mod platform_stand_in;
--- a/crates/hollyhook_standin/src/platform/object_store.rs
+++ b/crates/hollyhook_standin/src/platform/object_store.rs
@@ -5,29 +5,31 @@
 use hollyhook_wire::{ObjectChange, ObjectList, ObjectVersion, StoredObject};
 use serde_json::Value;
 
-/// The most bytes of one value.
+/// Upper limit on the size of a value, in bytes.
 pub(super) const MAX_VALUE_BYTES: usize = 1 << 20;
-/// Changes that a watch can look back on.
-const HISTORY: usize = 4_096;
+/// Upper limit on the changes kept for watches. Beyond it the oldest half is dropped.
+const MAX_HISTORY: usize = 4_096;
 
-/// Why a write was not made.
+/// A write was rejected since the object does not have the expected version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ConditionFailed;
 
-/// All objects, by kind and name.
+/// All objects by kind and name, with the latest changes.
+///
+/// Each write raises the revision by 1, which becomes the version of the object written.
 #[derive(Debug)]
 pub(super) struct ObjectStore {
     revision: u64,
     kinds: BTreeMap<Name, BTreeMap<Name, StoredObject>>,
     history: Vec<(Name, ObjectChange)>,
-    changed_sender: Sender<()>,
-    changed: Receiver<()>,
+    change_notifier: Sender<()>,
+    change_signal: Receiver<()>,
 }
 
 impl Default for ObjectStore {
     fn default() -> Self {
-        let (changed_sender, changed) = async_channel::bounded(1);
-        Self { revision: 0, kinds: BTreeMap::new(), history: Vec::new(), changed_sender, changed }
+        let (change_notifier, change_signal) = async_channel::bounded(1);
+        Self { revision: 0, kinds: BTreeMap::new(), history: Vec::new(), change_notifier, change_signal }
     }
 }
 
@@ -46,7 +48,7 @@
         ObjectList { revision: ObjectVersion(self.revision), changes: changes.collect() }
     }
 
-    /// The changes of a kind after a revision; the whole list if that is too long ago.
+    /// Lists the changes of a kind after a revision, or all its objects if those changes are no longer all kept.
     pub(super) fn changes(&self, kind: &str, after: ObjectVersion) -> ObjectList {
         let oldest = self.history.first().map_or(self.revision, |(_, change)| change.version.0);
         if after.0 + 1 < oldest {
@@ -57,11 +59,12 @@
         ObjectList { revision: ObjectVersion(self.revision), changes }
     }
 
-    /// Ends when the store changes after this call.
-    pub(super) fn changed(&self) -> Receiver<()> {
-        self.changed.clone()
+    /// Returns a channel that closes at the next change of the store.
+    pub(super) fn change_signal(&self) -> Receiver<()> {
+        self.change_signal.clone()
     }
 
+    /// Writes an object if its current version is `expected`; `None` expects that the object does not exist.
     pub(super) fn put(
         &mut self,
         kind: &str,
@@ -81,12 +84,13 @@
         Ok(version)
     }
 
+    /// Adds a change to the history and wakes the watches.
     fn record(&mut self, kind: &str, change: ObjectChange) {
         self.history.push((kind.into(), change));
-        if self.history.len() > HISTORY {
-            self.history.drain(..HISTORY / 2);
+        if self.history.len() > MAX_HISTORY {
+            self.history.drain(..MAX_HISTORY / 2);
         }
-        self.changed_sender.close();
-        (self.changed_sender, self.changed) = async_channel::bounded(1);
+        self.change_notifier.close();
+        (self.change_notifier, self.change_signal) = async_channel::bounded(1);
     }
 }
--- a/crates/hollyhook_standin/src/platform/platform_stand_in.rs
+++ b/crates/hollyhook_standin/src/platform/platform_stand_in.rs
@@ -9,19 +9,19 @@
 use tide::{Request, Response, StatusCode};
 
 use super::object_store::{MAX_VALUE_BYTES, ObjectStore};
-use crate::fault::{FaultCommand, FaultState, cut_connection, serve};
+use crate::fault::{FaultCommand, FaultState, cut_response, serve};
 
-/// The longest that a watch waits, whatever it asks for.
-const MAX_WATCH: Duration = Duration::from_mins(1);
+/// Longest wait of a watch for changes; a longer wait requested by a caller is cut to this.
+const MAX_WATCH_WAIT: Duration = Duration::from_mins(1);
 
-/// How a platform stand-in behaves. A builder.
+/// Options of a platform stand-in, set as with a builder.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PlatformOptions {
     is_own_process: bool,
 }
 
 impl PlatformOptions {
-    /// The stand-in is a process of its own, which ends when it is told to die.
+    /// Declares that the stand-in has its process to itself: [`FaultKind::Die`](crate::FaultKind::Die) exits the process.
     #[must_use]
     pub fn own_process(mut self) -> Self {
         self.is_own_process = true;
@@ -29,16 +29,18 @@
     }
 }
 
-/// The calls that a platform stand-in has counted: `GET /admin/counts`.
+/// Calls to a platform stand-in; the body of the answer to `GET /admin/counts`.
+///
+/// Calls during an outage are counted too.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformCounts {
-    /// Reads of one object or a list.
+    /// Reads of single objects and of lists.
     pub reads: u64,
-    /// Writes, refused ones included.
+    /// Writes, rejected ones included.
     pub writes: u64,
-    /// Watches.
+    /// Lists of the changes after a revision, which may wait for a change.
     pub watches: u64,
-    /// Writes whose condition did not hold.
+    /// Writes rejected since their condition on the object's version did not hold.
     pub conflicts: u64,
 }
 
@@ -67,11 +69,11 @@
 }
 
 impl PlatformStandIn {
-    /// Starts a platform at `address`; port 0 takes a free one.
+    /// Starts the stand-in and listens on `address`; with port 0 the system picks a free port.
     ///
     /// # Errors
     ///
-    /// `InvalidSetting` if the address can't be listened at.
+    /// `InvalidSetting` if the stand-in can't listen on `address`.
     pub fn start(address: SocketAddr, options: PlatformOptions) -> Result<Self> {
         let server = HttpServer::bind(address, ServerLimits::default())?;
         let faults = Arc::new(FaultState::new(server.gate(), options.is_own_process));
@@ -87,31 +89,31 @@
         Ok(Self { address, shared })
     }
 
-    /// Where it listens.
+    /// The address that the stand-in listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The calls counted.
+    /// The calls so far.
     pub fn counts(&self) -> PlatformCounts {
         *self.shared.counts()
     }
 
-    /// Lets it suffer a fault.
-    pub fn inject_fault(&self, order: FaultCommand) {
-        self.shared.faults.apply(order);
+    /// Injects a fault, as `POST /admin/fault` does.
+    pub fn inject_fault(&self, command: FaultCommand) {
+        self.shared.faults.apply(command);
     }
 }
 
 async fn get(request: Request<Arc<PlatformShared>>) -> tide::Result {
     let shared = request.state();
     shared.counts().reads += 1;
-    if shared.faults.is_out() {
-        return Ok(unavailable());
+    if shared.faults.has_outage() {
+        return Ok(unavailable_response());
     }
     let object = shared.store().get(request.param("kind")?, request.param("name")?).cloned();
     match object {
-        Some(object) => json(&object),
+        Some(object) => json_response(&object),
         None => Ok(Response::new(StatusCode::NotFound)),
     }
 }
@@ -130,31 +132,32 @@
         None => shared.counts().reads += 1,
         Some(_) => shared.counts().watches += 1,
     }
-    if shared.faults.is_out() {
-        return Ok(unavailable());
+    if shared.faults.has_outage() {
+        return Ok(unavailable_response());
     }
     let Some(after) = query.after else {
         let list = shared.store().list(kind);
-        return json(&list);
+        return json_response(&list);
     };
-    let wait = Duration::from_millis(query.wait_ms).min(MAX_WATCH);
+    let wait = Duration::from_millis(query.wait_ms).min(MAX_WATCH_WAIT);
     let found = async_std::future::timeout(wait, wait_for_changes(&shared, kind, after)).await;
     match found {
-        Ok(list) => json(&list),
-        Err(_) => json(&ObjectList { revision: after, changes: Vec::new() }),
+        Ok(list) => json_response(&list),
+        Err(_) => json_response(&ObjectList { revision: after, changes: Vec::new() }),
     }
 }
 
+/// Waits until a kind has changes after a revision, and lists them.
 async fn wait_for_changes(shared: &PlatformShared, kind: &str, after: ObjectVersion) -> ObjectList {
     loop {
-        let (list, changed) = {
+        let (list, change_signal) = {
             let store = shared.store();
-            (store.changes(kind, after), store.changed())
+            (store.changes(kind, after), store.change_signal())
         };
         if !list.changes.is_empty() {
             return list;
         }
-        let _closed = changed.recv().await;
+        let _closed = change_signal.recv().await;
     }
 }
 
@@ -162,8 +165,8 @@
     let bytes = request.body_bytes().await?;
     let shared = Arc::clone(request.state());
     shared.counts().writes += 1;
-    if shared.faults.is_out() {
-        return Ok(unavailable());
+    if shared.faults.has_outage() {
+        return Ok(unavailable_response());
     }
     if bytes.len() > MAX_VALUE_BYTES {
         return Ok(Response::new(StatusCode::PayloadTooLarge));
@@ -176,11 +179,11 @@
         _ => return Ok(Response::new(StatusCode::PreconditionRequired)),
     };
     let written = shared.store().put(request.param("kind")?, request.param("name")?, expected, value);
-    if written.is_ok() && shared.faults.loses_reply() {
-        return Ok(cut_connection());
+    if written.is_ok() && shared.faults.take_lost_reply() {
+        return Ok(cut_response());
     }
     match written {
-        Ok(version) => json(&version),
+        Ok(version) => json_response(&version),
         Err(_condition) => {
             shared.counts().conflicts += 1;
             Ok(Response::new(StatusCode::PreconditionFailed))
@@ -190,19 +193,19 @@
 
 async fn counts(request: Request<Arc<PlatformShared>>) -> tide::Result {
     let counts = *request.state().counts();
-    json(&counts)
+    json_response(&counts)
 }
 
 async fn fault(mut request: Request<Arc<PlatformShared>>) -> tide::Result {
-    let order: FaultCommand = request.body_json().await?;
-    request.state().faults.apply(order);
+    let command: FaultCommand = request.body_json().await?;
+    request.state().faults.apply(command);
     Ok(Response::new(StatusCode::Ok))
 }
 
-fn unavailable() -> Response {
+fn unavailable_response() -> Response {
     Response::new(StatusCode::ServiceUnavailable)
 }
 
-fn json(value: &impl Serialize) -> tide::Result {
+fn json_response(value: &impl Serialize) -> tide::Result {
     Ok(Response::builder(StatusCode::Ok).body(tide::Body::from_json(value)?).build())
 }
--- a/crates/hollyhook_standin/src/service/mod.rs
+++ b/crates/hollyhook_standin/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts each execution.
+//! Stand-in of a plain service, which counts its executions by idempotency key.
 
 mod service_stand_in;
 
--- a/crates/hollyhook_standin/src/service/service_stand_in.rs
+++ b/crates/hollyhook_standin/src/service/service_stand_in.rs
@@ -9,16 +9,16 @@
 use serde_json::json;
 use tide::{Request, Response, StatusCode};
 
-use crate::fault::{FaultCommand, FaultState, cut_connection, serve};
+use crate::fault::{FaultCommand, FaultState, cut_response, serve};
 
-/// How a service stand-in behaves. A builder.
+/// Options of a service stand-in, set as with a builder.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ServiceOptions {
     is_own_process: bool,
 }
 
 impl ServiceOptions {
-    /// The stand-in is a process of its own, which ends when it is told to die.
+    /// Declares that the stand-in has its process to itself: [`FaultKind::Die`](crate::FaultKind::Die) exits the process.
     #[must_use]
     pub fn own_process(mut self) -> Self {
         self.is_own_process = true;
@@ -26,12 +26,12 @@
     }
 }
 
-/// What a service stand-in has done: `GET /admin/counts`.
+/// Executions of a service stand-in; the body of the answer to `GET /admin/counts`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceCounts {
-    /// Executions by idempotency key.
+    /// Executions by idempotency key; those without a key are left out.
     pub by_key: BTreeMap<Name, u64>,
-    /// All executions.
+    /// All executions, with and without a key.
     pub executions: u64,
 }
 
@@ -55,11 +55,11 @@
 }
 
 impl ServiceStandIn {
-    /// Starts a service at `address`; port 0 takes a free one.
+    /// Starts the stand-in and listens on `address`; with port 0 the system picks a free port.
     ///
     /// # Errors
     ///
-    /// `InvalidSetting` if the address can't be listened at.
+    /// `InvalidSetting` if the stand-in can't listen on `address`.
     pub fn start(address: SocketAddr, options: ServiceOptions) -> Result<Self> {
         let server = HttpServer::bind(address, ServerLimits::default())?;
         let faults = Arc::new(FaultState::new(server.gate(), options.is_own_process));
@@ -74,26 +74,26 @@
         Ok(Self { address, shared })
     }
 
-    /// Where it listens.
+    /// The address that the stand-in listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it has done.
+    /// The executions so far.
     pub fn counts(&self) -> ServiceCounts {
         self.shared.counts().clone()
     }
 
-    /// Lets it suffer a fault.
-    pub fn inject_fault(&self, order: FaultCommand) {
-        self.shared.faults.apply(order);
+    /// Injects a fault, as `POST /admin/fault` does.
+    pub fn inject_fault(&self, command: FaultCommand) {
+        self.shared.faults.apply(command);
     }
 }
 
 async fn execute(mut request: Request<Arc<ServiceShared>>) -> tide::Result {
     let body = request.body_string().await.unwrap_or_default();
     let shared = Arc::clone(request.state());
-    if shared.faults.is_out() {
+    if shared.faults.has_outage() {
         return Ok(Response::new(StatusCode::ServiceUnavailable));
     }
     let key = request.header("idempotency-key").map(|values| Name::from(values.as_str()));
@@ -105,8 +105,8 @@
         }
         counts.executions
     };
-    if shared.faults.loses_reply() {
-        return Ok(cut_connection());
+    if shared.faults.take_lost_reply() {
+        return Ok(cut_response());
     }
     let method = request.method().to_string();
     let answer = json!({"execution": execution, "method": method, "path": request.url().path(), "body": body});
@@ -119,7 +119,7 @@
 }
 
 async fn fault(mut request: Request<Arc<ServiceShared>>) -> tide::Result {
-    let order: FaultCommand = request.body_json().await?;
-    request.state().faults.apply(order);
+    let command: FaultCommand = request.body_json().await?;
+    request.state().faults.apply(command);
     Ok(Response::new(StatusCode::Ok))
 }
--- a/crates/hollyhook_standin/tests/stand_ins.rs
+++ b/crates/hollyhook_standin/tests/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins by their published protocols.
+//! Tests of the stand-ins through their published protocols.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
     WriteCondition, completion_body,
 };
 
-const LIMIT: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
@@ -25,7 +25,7 @@
     ModelBinding::new("tutor", "1")
 }
 
-fn order(kind: FaultKind) -> FaultCommand {
+fn fault(kind: FaultKind) -> FaultCommand {
     FaultCommand { kind, millis: 0, count: 1 }
 }
 
@@ -46,7 +46,7 @@
 
 async fn open(engine: &EngineStandIn, bits: u128, attempt: u32, log: &TokenLog, tokens: u64) -> EngineStream {
     let mode = if log.is_empty() { OpenMode::Fresh } else { OpenMode::Resume };
-    let client = EngineClient::new(LIMIT);
+    let client = EngineClient::new(TIMEOUT);
     let request = request("one two three", tokens);
     client.open(engine.address(), &request, extension(bits, attempt), mode, log).await.unwrap().unwrap()
 }
@@ -73,25 +73,25 @@
         let options = || EngineOptions::new(binding()).step(Duration::from_millis(2));
         let first = EngineStandIn::start(any_port(), options().salt(1)).unwrap();
         let second = EngineStandIn::start(any_port(), options().salt(2)).unwrap();
-        let client = EngineClient::new(LIMIT);
+        let client = EngineClient::new(TIMEOUT);
         let mut log = TokenLog::default();
         let mut stream = open(&first, 7, 1, &TokenLog::default(), 40).await;
         assert_eq!(stream.load().unwrap().state, EndpointState::Live);
         read(&mut stream, &mut log, 10).await;
 
-        // A newer attachment takes the output over; an older one is refused.
+        // A newer attempt takes over the output stream. An older attempt can neither attach nor cancel.
         let id = GenerationId::from_bits(7);
         let position = log.len() as u64;
         let attached = client.attach(first.address(), id, AttemptNumber::new(3), position).await.unwrap();
         read(&mut attached.unwrap(), &mut log, 20).await;
         let stale = client.attach(first.address(), id, AttemptNumber::new(2), position).await.unwrap();
         assert_eq!(stale.unwrap_err(), EndpointRefusal::Superseded);
-        client.cancel(first.address(), id, AttemptNumber::new(2), LIMIT).await.unwrap();
-        assert!(matches!(client.probe(first.address(), id, LIMIT).await, ProbeReport::Holds { .. }));
-        client.cancel(first.address(), id, AttemptNumber::new(3), LIMIT).await.unwrap();
-        assert_eq!(client.probe(first.address(), id, LIMIT).await, ProbeReport::Lives);
+        client.cancel(first.address(), id, AttemptNumber::new(2), TIMEOUT).await.unwrap();
+        assert!(matches!(client.probe(first.address(), id, TIMEOUT).await, ProbeReport::Holds { .. }));
+        client.cancel(first.address(), id, AttemptNumber::new(3), TIMEOUT).await.unwrap();
+        assert_eq!(client.probe(first.address(), id, TIMEOUT).await, ProbeReport::Lives);
 
-        // Another engine goes on from the tokens, though it samples differently from the start.
+        // Another engine resumes from the tokens, although its salt would give a different first token.
         let mut stream = open(&second, 7, 4, &log, 40).await;
         assert!(read(&mut stream, &mut log, 41).await);
         assert_eq!(TokenChain::new("one two three", &binding()).first_mismatch(log.iter()), None);
@@ -102,8 +102,8 @@
 #[test]
 fn engine_caches_prefixes_and_refuses() {
     block_on(async {
-        let engine = EngineStandIn::start(any_port(), EngineOptions::new(binding()).context(100)).unwrap();
-        let client = EngineClient::new(LIMIT);
+        let engine = EngineStandIn::start(any_port(), EngineOptions::new(binding()).context_tokens(100)).unwrap();
+        let client = EngineClient::new(TIMEOUT);
         let words = (0..64).map(|word| word.to_string()).collect::<Vec<_>>().join(" ");
         let log = TokenLog::default();
         for bits in 1..=2 {
@@ -120,9 +120,9 @@
         };
         assert_eq!(refused(90, &|_| {}).await, EndpointRefusal::Invalid);
         assert_eq!(refused(1, &|extension| extension.binding.version = "2".into()).await, EndpointRefusal::Unable);
-        engine.inject_fault(order(FaultKind::Leave));
+        engine.inject_fault(fault(FaultKind::Leave));
         assert_eq!(refused(1, &|_| {}).await, EndpointRefusal::Busy);
-        assert_eq!(client.load(engine.address(), LIMIT).await.unwrap().state, EndpointState::Leaving);
+        assert_eq!(client.load(engine.address(), TIMEOUT).await.unwrap().state, EndpointState::Leaving);
     });
 }
 
@@ -137,20 +137,20 @@
 
         let list = client.list("config").await.unwrap();
         let watcher = client.clone();
-        let watch = spawn(async move { watcher.watch("config", list.revision, LIMIT).await.unwrap() });
+        let watch = spawn(async move { watcher.watch("config", list.revision, TIMEOUT).await.unwrap() });
         let second = client.put("config", "base", WriteCondition::Version(first), &3).await.unwrap();
-        let seen = watch.await;
-        assert_eq!((seen.changes[0].version, &seen.changes[0].value), (second, &Some(3.into())));
+        let update = watch.await;
+        assert_eq!((update.changes[0].version, &update.changes[0].value), (second, &Some(3.into())));
 
-        platform.inject_fault(order(FaultKind::LoseReply));
+        platform.inject_fault(fault(FaultKind::LoseReply));
         let unanswered = client.put("config", "base", WriteCondition::Version(second), &4).await;
         assert_eq!(unanswered, Err(PlatformError::Unknown));
         let object = client.get("config", "base").await.unwrap();
-        assert!(object.version > second && object.value == 4, "the write took effect");
+        assert!(object.version > second && object.value == 4, "the write whose reply was lost must take effect");
 
-        platform.inject_fault(order(FaultKind::Outage));
+        platform.inject_fault(fault(FaultKind::Outage));
         assert_eq!(client.get("config", "base").await, Err(PlatformError::Unavailable));
-        platform.inject_fault(order(FaultKind::Recover));
+        platform.inject_fault(fault(FaultKind::Recover));
         assert_eq!(client.get("config", "base").await.unwrap(), object);
         assert_eq!((platform.counts().conflicts, client.writes()), (1, 4));
     });
