--- a/crates/hollyhook_standin/src/engine/engine_batch.rs
+++ b/crates/hollyhook_standin/src/engine/engine_batch.rs
@@ -23,7 +23,7 @@
     pub attached: u64,
     /// Generations cancelled by a request.
     pub cancelled: u64,
-    /// Unfinished generations dropped since no stream was attached for the grace period.
+    /// Unfinished generations dropped because no stream was attached for the grace period.
     pub orphaned: u64,
     /// Generations that produced their last token here.
     pub finished: u64,
@@ -41,7 +41,7 @@
     sequences: HashMap<GenerationId, Sequence>,
     /// Sequences submitted so far.
     arrivals: u64,
-    /// Time at which the prompts admitted so far are processed; prompts are processed one after another.
+    /// Time at which the prompts admitted so far will have been processed, which happens one after another.
     prefill_free_at: Instant,
     /// Counts so far, without the running sequences and the work of the sequences that are still held.
     pub(super) counts: EngineCounts,
@@ -166,7 +166,7 @@
         is_held
     }
 
-    /// Records that the stream of `attempt` ended; the generation continues for the grace period.
+    /// Starts the grace period of a generation whose stream ended, unless a newer attempt is attached.
     pub(super) fn detach(&mut self, id: GenerationId, attempt: AttemptNumber) {
         if let Some(sequence) = self.sequences.get_mut(&id)
             && sequence.attempt == attempt
--- a/crates/hollyhook_standin/src/engine/engine_options.rs
+++ b/crates/hollyhook_standin/src/engine/engine_options.rs
@@ -2,7 +2,7 @@
 
 use hollyhook_core::ModelBinding;
 
-/// Options of an engine stand-in, set as with a builder.
+/// Options of an engine stand-in, set with chained methods.
 #[derive(Debug, Clone)]
 pub struct EngineOptions {
     pub(super) binding: ModelBinding,
--- a/crates/hollyhook_standin/src/engine/engine_stand_in.rs
+++ b/crates/hollyhook_standin/src/engine/engine_stand_in.rs
@@ -72,7 +72,7 @@
     }
 }
 
-/// Runs the decode steps at a fixed rate until the engine dies; after a pause the steps missed are not made up for.
+/// Runs the decode steps at a fixed rate until the engine dies; steps missed during a pause are skipped.
 async fn run_batch(shared: Arc<EngineShared>) {
     let mut next = Instant::now();
     while !shared.faults.is_dead() {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Copies the batch's load to the reported load every `load_lag`.
+/// Refreshes the reported load every `load_lag` until the engine dies.
 async fn refresh_load(shared: Arc<EngineShared>) {
     while !shared.faults.is_dead() {
         let load = shared.batch().load();
--- a/crates/hollyhook_standin/src/engine/prefix_cache.rs
+++ b/crates/hollyhook_standin/src/engine/prefix_cache.rs
@@ -15,7 +15,7 @@
 }
 
 impl PrefixCache {
-    /// Creates a cache with a capacity of that many tokens, rounded down to whole blocks.
+    /// Creates a cache with a capacity of `tokens` tokens, rounded down to whole blocks.
     pub(super) fn new(tokens: usize) -> Self {
         Self { max_blocks: tokens / BLOCK_TOKENS, blocks: HashSet::new(), insertion_order: VecDeque::new() }
     }
--- a/crates/hollyhook_standin/src/engine/stream_task.rs
+++ b/crates/hollyhook_standin/src/engine/stream_task.rs
@@ -22,7 +22,9 @@
 }
 
 impl StreamTask {
-    /// Creates a task that sends the tokens from `position` on, and that stream faults injected from now on affect.
+    /// Creates a task that sends the tokens from `position` on.
+    ///
+    /// Of the `Cut` and `Silence` faults, only those injected after this call affect the stream.
     pub(super) fn new(shared: Arc<EngineShared>, id: GenerationId, attempt: AttemptNumber, position: usize) -> Self {
         Self {
             cut_epoch: shared.cut_epoch.load(Ordering::SeqCst),
--- a/crates/hollyhook_standin/src/fault/fault_command.rs
+++ b/crates/hollyhook_standin/src/fault/fault_command.rs
@@ -17,11 +17,12 @@
 ///
 /// All stand-ins implement `Die`, `Pause`, `Wake` and `Delay`. `Silence`, `Cut`, `Leave`, `Return` and `LieIdle` only
 /// affect an engine; `Outage`, `Recover` and `LoseReply` only a plain service and the platform.
+/// Requests under `/admin/` are exempt from all faults but `Die`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[non_exhaustive]
 pub enum FaultKind {
-    /// Exit without answering, or refuse connections and close streams if the stand-in shares its process.
+    /// Exit without answering. A stand-in that shares its process refuses connections and closes streams instead.
     Die,
     /// Hold back new requests, streams and token production until a `Wake`; connections stay open.
     Pause,
--- a/crates/hollyhook_standin/src/platform/object_store.rs
+++ b/crates/hollyhook_standin/src/platform/object_store.rs
@@ -10,7 +10,7 @@
 /// Upper limit on the changes kept for watches. Beyond it the oldest half is dropped.
 const MAX_HISTORY: usize = 4_096;
 
-/// A write was rejected since the object does not have the expected version.
+/// A write was rejected because the object does not have the expected version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ConditionFailed;
 
--- a/crates/hollyhook_standin/src/platform/platform_stand_in.rs
+++ b/crates/hollyhook_standin/src/platform/platform_stand_in.rs
@@ -11,10 +11,10 @@
 use super::object_store::{MAX_VALUE_BYTES, ObjectStore};
 use crate::fault::{FaultCommand, FaultState, cut_response, serve};
 
-/// Longest wait of a watch for changes; a longer wait requested by a caller is cut to this.
+/// Upper limit on how long a watch waits for changes, whatever wait the client requests.
 const MAX_WATCH_WAIT: Duration = Duration::from_mins(1);
 
-/// Options of a platform stand-in, set as with a builder.
+/// Options of a platform stand-in, set with chained methods.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PlatformOptions {
     is_own_process: bool,
@@ -38,9 +38,9 @@
     pub reads: u64,
     /// Writes, rejected ones included.
     pub writes: u64,
-    /// Lists of the changes after a revision, which may wait for a change.
+    /// Watches: requests for the changes after a revision, which may wait for a change.
     pub watches: u64,
-    /// Writes rejected since their condition on the object's version did not hold.
+    /// Writes rejected because their condition on the object's version did not hold.
     pub conflicts: u64,
 }
 
--- a/crates/hollyhook_standin/src/service/service_stand_in.rs
+++ b/crates/hollyhook_standin/src/service/service_stand_in.rs
@@ -11,7 +11,7 @@
 
 use crate::fault::{FaultCommand, FaultState, cut_response, serve};
 
-/// Options of a service stand-in, set as with a builder.
+/// Options of a service stand-in, set with chained methods.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ServiceOptions {
     is_own_process: bool,
--- a/crates/hollyhook_standin/tests/stand_ins.rs
+++ b/crates/hollyhook_standin/tests/stand_ins.rs
@@ -91,7 +91,7 @@
         client.cancel(first.address(), id, AttemptNumber::new(3), TIMEOUT).await.unwrap();
         assert_eq!(client.probe(first.address(), id, TIMEOUT).await, ProbeReport::Lives);
 
-        // Another engine resumes from the tokens, although its salt would give a different first token.
+        // Another engine resumes from the tokens, although it derives first tokens from another salt.
         let mut stream = open(&second, 7, 4, &log, 40).await;
         assert!(read(&mut stream, &mut log, 41).await);
         assert_eq!(TokenChain::new("one two three", &binding()).first_mismatch(log.iter()), None);
