--- a/crates/hollyhook/tests/processes/fleet.rs
+++ b/crates/hollyhook/tests/processes/fleet.rs
@@ -9,7 +9,7 @@
 use async_std::task;
 use hollyhook_core::ModelBinding;
 use hollyhook_settings::key_digest;
-use hollyhook_standin::{EngineCounts, FaultCommand, FaultKind, PlatformCounts, ServiceCounts, TokenChain};
+use hollyhook_standin::{EngineCounts, FaultKind, FaultOrder, PlatformCounts, ServiceCounts, TokenChain};
 use hollyhook_wire::{ApiStyle, CallerClient, CallerItem, CallerStream, completion_body};
 use http_types::Method;
 use nix::sys::signal::{Signal, kill};
@@ -133,7 +133,7 @@
     }
 
     pub async fn fault(&self, process: &Process, kind: FaultKind, count: u64) {
-        let order = serde_json::to_value(FaultCommand { kind, millis: 0, count }).unwrap();
+        let order = serde_json::to_value(FaultOrder { kind, millis: 0, count }).unwrap();
         let client = CallerClient::new(process.address, "");
         let outcome = client.call(Method::Post, "/admin/fault", Some(&order), &[]).await;
         assert!(kind == FaultKind::Die || outcome.unwrap().status == 200);
--- a/crates/hollyhook_command/src/demo/demo_run.rs
+++ b/crates/hollyhook_command/src/demo/demo_run.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 use eyre::{Result, bail};
 use futures::future::pending;
-use hollyhook_standin::{FaultCommand, FaultKind, TokenChain};
+use hollyhook_standin::{FaultKind, FaultOrder, TokenChain};
 use hollyhook_wire::{ApiStyle, CallerItem, CallerStream, completion_body};
 use serde::Serialize;
 
@@ -103,7 +103,7 @@
 
 fn kill_busy(fleet: &LocalFleet) -> Option<Instant> {
     let number = fleet.busy_engine()?;
-    fleet.engines[number].inject_fault(FaultCommand { kind: FaultKind::Die, millis: 0, count: 0 });
+    fleet.engines[number].inject_fault(FaultOrder { kind: FaultKind::Die, millis: 0, count: 0 });
     print!("\n[engine-{number} killed]\n");
     Some(Instant::now())
 }
--- a/crates/hollyhook_command/src/load/failures.rs
+++ b/crates/hollyhook_command/src/load/failures.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 use eyre::Result;
 use futures::future::join_all;
-use hollyhook_standin::{FaultCommand, FaultKind};
+use hollyhook_standin::{FaultKind, FaultOrder};
 use hollyhook_wire::EngineWork;
 use serde::Serialize;
 
@@ -191,7 +191,7 @@
     let failed_at = Instant::now();
     if let Some(kind) = fault.kind() {
         for engine in suffering {
-            fleet.engines[engine].inject_fault(FaultCommand { kind, millis: 0, count: 0 });
+            fleet.engines[engine].inject_fault(FaultOrder { kind, millis: 0, count: 0 });
         }
     }
     let outcomes = join_all(runs).await;
--- a/crates/hollyhook_standin/src/engine/engine_shared.rs
+++ b/crates/hollyhook_standin/src/engine/engine_shared.rs
@@ -6,7 +6,7 @@
 
 use super::EngineOptions;
 use super::engine_batch::EngineBatch;
-use crate::fault::{FaultCommand, FaultKind, FaultState};
+use crate::fault::{FaultKind, FaultOrder, FaultState};
 
 /// State that the HTTP routes, the stream tasks and the batch task of an engine share.
 #[derive(Debug)]
@@ -30,8 +30,8 @@
     }
 
     /// Applies a fault and wakes all streams, so that they observe it.
-    pub(super) fn inject_fault(&self, command: FaultCommand) {
-        match command.kind {
+    pub(super) fn inject_fault(&self, order: FaultOrder) {
+        match order.kind {
             FaultKind::Silence => {
                 self.silence_epoch.fetch_add(1, Ordering::SeqCst);
             }
@@ -41,7 +41,7 @@
             FaultKind::Leave => self.is_leaving.store(true, Ordering::SeqCst),
             FaultKind::Return => self.is_leaving.store(false, Ordering::SeqCst),
             FaultKind::LieIdle => self.is_load_hidden.store(true, Ordering::SeqCst),
-            _ => self.faults.apply(command),
+            _ => self.faults.apply(order),
         }
         self.batch().notify_all();
     }
--- a/crates/hollyhook_standin/src/engine/engine_stand_in.rs
+++ b/crates/hollyhook_standin/src/engine/engine_stand_in.rs
@@ -17,7 +17,7 @@
 use super::engine_shared::EngineShared;
 use super::stream_task::StreamTask;
 use super::{EngineCounts, EngineOptions};
-use crate::fault::{FaultCommand, FaultState, serve};
+use crate::fault::{FaultOrder, FaultState, serve};
 
 /// Chunks of a stream that are buffered for a reader that is behind.
 const STREAM_BUFFER_CHUNKS: usize = 64;
@@ -67,8 +67,8 @@
     }
 
     /// Injects a fault, as `POST /admin/fault` does.
-    pub fn inject_fault(&self, command: FaultCommand) {
-        self.shared.inject_fault(command);
+    pub fn inject_fault(&self, order: FaultOrder) {
+        self.shared.inject_fault(order);
     }
 }
 
@@ -185,8 +185,8 @@
 }
 
 async fn fault(mut request: Request<Arc<EngineShared>>) -> tide::Result {
-    let command: FaultCommand = request.body_json().await?;
-    request.state().inject_fault(command);
+    let order: FaultOrder = request.body_json().await?;
+    request.state().inject_fault(order);
     Ok(Response::new(StatusCode::Ok))
 }
 
--- a/crates/hollyhook_standin/src/fault/fault_command.rs
+++ b/crates/hollyhook_standin/src/fault/fault_order.rs
@@ -2,7 +2,7 @@
 
 /// The body of `POST /admin/fault`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FaultCommand {
+pub struct FaultOrder {
     /// The fault to inject or to end.
     pub kind: FaultKind,
     /// The duration in milliseconds of a [`FaultKind::Delay`]; other kinds ignore it.
--- a/crates/hollyhook_standin/src/fault/fault_state.rs
+++ b/crates/hollyhook_standin/src/fault/fault_state.rs
@@ -6,7 +6,7 @@
 use hollyhook_wire::{ConnectionGate, HttpServer};
 use tide::{Response, Server};
 
-use super::{FaultCommand, FaultKind};
+use super::{FaultKind, FaultOrder};
 
 /// Response header that makes [`serve`] close the connection instead of sending the response.
 const CUT_HEADER: &str = "x-stand-in-cut";
@@ -38,15 +38,15 @@
     }
 
     /// Applies a fault; ignores the kinds that only engines implement.
-    pub(crate) fn apply(&self, command: FaultCommand) {
-        match command.kind {
+    pub(crate) fn apply(&self, order: FaultOrder) {
+        match order.kind {
             FaultKind::Die => self.die(),
             FaultKind::Pause => self.is_paused.store(true, Ordering::SeqCst),
             FaultKind::Wake => self.is_paused.store(false, Ordering::SeqCst),
             FaultKind::Outage => self.has_outage.store(true, Ordering::SeqCst),
             FaultKind::Recover => self.has_outage.store(false, Ordering::SeqCst),
-            FaultKind::Delay => self.delay_ms.store(command.millis, Ordering::SeqCst),
-            FaultKind::LoseReply => self.replies_to_lose.store(command.count.max(1), Ordering::SeqCst),
+            FaultKind::Delay => self.delay_ms.store(order.millis, Ordering::SeqCst),
+            FaultKind::LoseReply => self.replies_to_lose.store(order.count.max(1), Ordering::SeqCst),
             _ => {}
         }
     }
--- a/crates/hollyhook_standin/src/lib.rs
+++ b/crates/hollyhook_standin/src/lib.rs
@@ -10,6 +10,6 @@
 mod service;
 
 pub use engine::{EngineCounts, EngineOptions, EngineStandIn, TokenChain};
-pub use fault::{FaultCommand, FaultKind};
+pub use fault::{FaultKind, FaultOrder};
 pub use platform::{PlatformCounts, PlatformOptions, PlatformStandIn};
 pub use service::{ServiceCounts, ServiceOptions, ServiceStandIn};
--- a/crates/hollyhook_standin/src/platform/platform_stand_in.rs
+++ b/crates/hollyhook_standin/src/platform/platform_stand_in.rs
@@ -9,7 +9,7 @@
 use tide::{Request, Response, StatusCode};
 
 use super::object_store::{MAX_VALUE_BYTES, ObjectStore};
-use crate::fault::{FaultCommand, FaultState, cut_response, serve};
+use crate::fault::{FaultOrder, FaultState, cut_response, serve};
 
 /// Upper limit on how long a watch waits for changes, whatever wait the client requests.
 const MAX_WATCH_WAIT: Duration = Duration::from_mins(1);
@@ -100,8 +100,8 @@
     }
 
     /// Injects a fault, as `POST /admin/fault` does.
-    pub fn inject_fault(&self, command: FaultCommand) {
-        self.shared.faults.apply(command);
+    pub fn inject_fault(&self, order: FaultOrder) {
+        self.shared.faults.apply(order);
     }
 }
 
@@ -197,8 +197,8 @@
 }
 
 async fn fault(mut request: Request<Arc<PlatformShared>>) -> tide::Result {
-    let command: FaultCommand = request.body_json().await?;
-    request.state().faults.apply(command);
+    let order: FaultOrder = request.body_json().await?;
+    request.state().faults.apply(order);
     Ok(Response::new(StatusCode::Ok))
 }
 
--- a/crates/hollyhook_standin/src/service/service_stand_in.rs
+++ b/crates/hollyhook_standin/src/service/service_stand_in.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 use tide::{Request, Response, StatusCode};
 
-use crate::fault::{FaultCommand, FaultState, cut_response, serve};
+use crate::fault::{FaultOrder, FaultState, cut_response, serve};
 
 /// Options of a service stand-in, set with chained methods.
 #[derive(Debug, Clone, Copy, Default)]
@@ -85,8 +85,8 @@
     }
 
     /// Injects a fault, as `POST /admin/fault` does.
-    pub fn inject_fault(&self, command: FaultCommand) {
-        self.shared.faults.apply(command);
+    pub fn inject_fault(&self, order: FaultOrder) {
+        self.shared.faults.apply(order);
     }
 }
 
@@ -119,7 +119,7 @@
 }
 
 async fn fault(mut request: Request<Arc<ServiceShared>>) -> tide::Result {
-    let command: FaultCommand = request.body_json().await?;
-    request.state().faults.apply(command);
+    let order: FaultOrder = request.body_json().await?;
+    request.state().faults.apply(order);
     Ok(Response::new(StatusCode::Ok))
 }
--- a/crates/hollyhook_standin/tests/stand_ins.rs
+++ b/crates/hollyhook_standin/tests/stand_ins.rs
@@ -8,7 +8,7 @@
     AttemptNumber, EndpointRefusal, EndpointState, GenerationId, ModelBinding, OpenMode, ProbeReport, TokenLog,
 };
 use hollyhook_standin::{
-    EngineOptions, EngineStandIn, FaultCommand, FaultKind, PlatformOptions, PlatformStandIn, TokenChain,
+    EngineOptions, EngineStandIn, FaultKind, FaultOrder, PlatformOptions, PlatformStandIn, TokenChain,
 };
 use hollyhook_wire::{
     ApiStyle, CallerRequest, EngineClient, EngineExtension, EngineStream, PlatformClient, PlatformError, StreamItem,
@@ -25,8 +25,8 @@
     ModelBinding::new("tutor", "1")
 }
 
-fn fault(kind: FaultKind) -> FaultCommand {
-    FaultCommand { kind, millis: 0, count: 1 }
+fn fault(kind: FaultKind) -> FaultOrder {
+    FaultOrder { kind, millis: 0, count: 1 }
 }
 
 fn request(prompt: &str, tokens: u64) -> CallerRequest {
