--- a/crates/hollyhook/tests/processes/fleet.rs
+++ b/crates/hollyhook/tests/processes/fleet.rs
@@ -248,7 +248,7 @@
 /// Asserts that the tokens are one whole generation, compared token for token with its chain.
 pub fn assert_whole(prompt: &str, tokens: &[String], expected: usize) {
     let chain = TokenChain::new(prompt, &ModelBinding::new(MODEL, "1"));
-    assert_eq!(chain.first_break(tokens.iter().map(String::as_str)), None, "a token does not follow");
+    assert_eq!(chain.first_mismatch(tokens.iter().map(String::as_str)), None, "a token does not follow");
     assert_eq!(tokens.len(), expected);
 }
 
