--- a/crates/hollyhook/src/bin/hollyhookd.rs
+++ b/crates/hollyhook/src/bin/hollyhookd.rs
@@ -101,11 +101,11 @@
 
 /// Tells which log lines were not written since the last time.
 fn tell_left_out(log: &LogGuard) {
-    for (kind, lines) in log.volume.take_left_out() {
+    for (kind, lines) in log.limiter.take_suppressed() {
         tracing::warn!(kind = %kind, lines, "log.left_out");
     }
-    if log.dropped() > 0 {
-        tracing::warn!(lines = log.dropped(), "log.dropped");
+    if log.dropped_lines() > 0 {
+        tracing::warn!(lines = log.dropped_lines(), "log.dropped");
     }
 }
 
@@ -137,7 +137,7 @@
 
 fn load(args: &DaemonArgs) -> Result<DaemonRole, SettingErrors> {
     let file = SettingFile::load(&args.settings)?;
-    if GatewaySettings::is_for(&file) {
+    if GatewaySettings::is_gateway_file(&file) {
         return GatewaySettings::parse(&file).map(|settings| DaemonRole::Gateway(Box::new(settings)));
     }
     let process = ProcessSettings::load(&args.settings)?;
--- a/crates/hollyhook/tests/processes/docs.rs
+++ b/crates/hollyhook/tests/processes/docs.rs
@@ -10,7 +10,7 @@
 
 /// The keys of each section, as the error for one that is far from all of them lists them.
 fn keys(errors: &SettingErrors) -> Vec<String> {
-    let lists = errors.0.iter().filter_map(|error| error.right.strip_prefix("the keys are "));
+    let lists = errors.0.iter().filter_map(|error| error.hint.strip_prefix("the keys are "));
     lists.flat_map(|list| list.split(", ")).map(str::to_owned).collect()
 }
 
--- a/crates/hollyhook_command/src/load/slopes.rs
+++ b/crates/hollyhook_command/src/load/slopes.rs
@@ -12,7 +12,7 @@
     RelayPolicy, RouteQuery, StreamCursor, TimePoint, ZoneName,
 };
 use hollyhook_settings::{SettingFile, SiteSettings, key_digest};
-use hollyhook_telemetry::{MetricBoard, MetricMeasure};
+use hollyhook_telemetry::{MetricMeasure, MetricRecorder};
 use hollyhook_wire::{ApiStyle, EngineClient, SseParser, StreamWriter, connect_peer};
 use serde::Serialize;
 
@@ -252,24 +252,24 @@
         MetricMeasure::QueueWait,
         MetricMeasure::PlainCall,
     ];
-    let board = growth(1, |_| {
-        let board = MetricBoard::default();
+    let recorder = growth(1, |_| {
+        let recorder = MetricRecorder::default();
         for number in 0..COUNT {
             let account = Name::from(format!("account-{number}"));
             for measure in measures {
-                board.record(measure, &account, "long", &[Duration::from_millis(20)]);
+                recorder.record(measure, &account, "long", &[Duration::from_millis(20)]);
             }
         }
-        board
+        recorder
     })?;
-    Ok(board / f64::from(COUNT))
+    Ok(recorder / f64::from(COUNT))
 }
 
 fn metric_record() -> f64 {
-    let board = MetricBoard::default();
+    let recorder = MetricRecorder::default();
     let account = Name::from("head-office");
     let samples = [Duration::from_millis(20); 64];
-    nanos(2_000, |_| board.record(MetricMeasure::BetweenTokens, &account, "long", &samples))
+    nanos(2_000, |_| recorder.record(MetricMeasure::BetweenTokens, &account, "long", &samples))
 }
 
 fn claim(number: u32) -> ClaimRecord {
--- a/crates/hollyhook_daemon/src/call/call_driver.rs
+++ b/crates/hollyhook_daemon/src/call/call_driver.rs
@@ -70,7 +70,7 @@
         };
         let span = self.context.timer.now() - start;
         let class = self.call.class.label();
-        self.context.board.record(MetricMeasure::PlainCall, &self.call.account, class, &[span]);
+        self.context.recorder.record(MetricMeasure::PlainCall, &self.call.account, class, &[span]);
         outcome
     }
 
@@ -81,7 +81,7 @@
         match context.claims.claim(record.clone()).await? {
             ClaimGrant::Granted => {}
             ClaimGrant::Answered(answer) => {
-                context.board.count("call_replayed");
+                context.recorder.count("call_replayed");
                 let mut response = Response::new(answer.status);
                 response.insert_header("idempotent-replayed", "true");
                 response.set_body(&*answer.body);
@@ -137,7 +137,7 @@
 
     fn assign(&self, avoid: &[EndpointId], is_retry: bool) -> CallEvent {
         if is_retry && !self.lock_retries().try_spend() {
-            self.context.board.count("retry_refused");
+            self.context.recorder.count("retry_refused");
             return CallEvent::RetryRefused;
         }
         let query = RouteQuery::new(&self.call.service).avoid(avoid);
@@ -214,20 +214,20 @@
     }
 
     fn conclude(&mut self, outcome: CallOutcome) -> Result<Response> {
-        let board = &self.context.board;
+        let recorder = &self.context.recorder;
         match (outcome, self.response.take()) {
             (CallOutcome::Answered, Some(answer)) => {
-                board.count("call_answered");
+                recorder.count("call_answered");
                 Ok(clean(answer))
             }
             (CallOutcome::NotRun, _) => {
-                board.count("call_not_run");
+                recorder.count("call_not_run");
                 let message = format!("the call was not run: no endpoint of `{}` takes calls now", self.call.service);
                 let span = RETRY_AFTER + RETRY_AFTER.mul_f64(rand::random());
                 Err(Error::new(ErrorKind::NotRun, message).retry_after(span))
             }
             _ => {
-                board.count("call_unknown");
+                recorder.count("call_unknown");
                 Err(unknown("the call was sent and no answer came"))
             }
         }
--- a/crates/hollyhook_daemon/src/call/claim_service.rs
+++ b/crates/hollyhook_daemon/src/call/claim_service.rs
@@ -12,7 +12,7 @@
 use hollyhook_wire::{ObjectVersion, PlatformClient, PlatformError, WriteCondition};
 use sha2::{Digest, Sha256};
 
-use hollyhook_telemetry::MetricBoard;
+use hollyhook_telemetry::MetricRecorder;
 
 /// The kind of the platform's objects that hold claims.
 const KIND: &str = "claims";
@@ -59,7 +59,7 @@
     /// Starts one worker a shard; without a platform every claim is refused.
     pub(crate) fn start(
         platform: Option<&PlatformClient>,
-        board: &Arc<MetricBoard>,
+        recorder: &Arc<MetricRecorder>,
         timer: &TimerService,
         key_age: Duration,
     ) -> Self {
@@ -67,7 +67,7 @@
             let (sender, orders) = async_channel::bounded(QUEUE);
             let worker = ShardWorker {
                 platform: platform.cloned(),
-                board: Arc::clone(board),
+                recorder: Arc::clone(recorder),
                 timer: timer.clone(),
                 name: format!("shard-{shard:02}"),
                 shard: ClaimShard::new(ClaimPolicy { key_age, ..ClaimPolicy::default() }),
@@ -132,7 +132,7 @@
 /// Drives one shard: carries its reads and writes to the platform and its verdicts to the callers.
 struct ShardWorker {
     platform: Option<PlatformClient>,
-    board: Arc<MetricBoard>,
+    recorder: Arc<MetricRecorder>,
     timer: TimerService,
     name: String,
     shard: ClaimShard,
@@ -212,7 +212,7 @@
         match platform.put(KIND, &self.name, condition, ledger).await {
             Ok(ObjectVersion(version)) => ClaimEvent::Written { version },
             Err(PlatformError::Conflict) => {
-                self.board.count("claim_conflict");
+                self.recorder.count("claim_conflict");
                 ClaimEvent::Conflicted
             }
             Err(PlatformError::Unavailable) => ClaimEvent::Unavailable,
@@ -241,7 +241,7 @@
     }
 
     fn refusal(&self, refusal: ClaimRefusal) -> Error {
-        self.board.count("claim_refused");
+        self.recorder.count("claim_refused");
         match refusal {
             ClaimRefusal::Unavailable => down("the platform is down"),
             ClaimRefusal::Unanswered => down("the platform does not answer"),
--- a/crates/hollyhook_daemon/src/daemon/assembly.rs
+++ b/crates/hollyhook_daemon/src/daemon/assembly.rs
@@ -17,7 +17,7 @@
 use crate::fleet::{CancelOrder, FleetTable, HostContext, ProbeService, ResumeService, run_cancels, run_load_polls};
 use crate::front::{FrontState, serve_front};
 use crate::relay::TraceStore;
-use hollyhook_telemetry::MetricBoard;
+use hollyhook_telemetry::MetricRecorder;
 
 /// How long a connection to an endpoint may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
@@ -124,11 +124,11 @@
     let limits = site.limits.clone();
     let site = registry.register(HostContext::SITE, site)?;
     let timer = registry.register(TimerService::NAME, TimerService::from(WallClock::start()))?;
-    let board = match settings.statsd {
-        Some(address) => MetricBoard::with_statsd(address, &settings.host)?,
-        None => MetricBoard::default(),
+    let recorder = match settings.statsd {
+        Some(address) => MetricRecorder::with_statsd(address, &settings.host)?,
+        None => MetricRecorder::default(),
     };
-    let board = registry.register(MetricBoard::NAME, board)?;
+    let recorder = registry.register(MetricRecorder::NAME, recorder)?;
     registry.register(FleetTable::NAME, FleetTable::new(&settings.host, &settings.zone, &site))?;
     let mut seal = CursorSeal::new(&settings.cursor_key, limits.cursor_age);
     if let Some(previous) = &settings.previous_cursor_key {
@@ -141,7 +141,7 @@
     registry.register(ProbeService::NAME, ProbeService::new())?;
     registry.register(HostContext::RETRIES, Mutex::new(RetryBudget::new(limits.retry_share, RETRY_RESERVE)))?;
     let platform = settings.platform.map(PlatformClient::new);
-    registry.register(ClaimService::NAME, ClaimService::start(platform.as_ref(), &board, &timer, limits.key_age))?;
+    registry.register(ClaimService::NAME, ClaimService::start(platform.as_ref(), &recorder, &timer, limits.key_age))?;
     Ok(registry)
 }
 
@@ -150,7 +150,7 @@
     const INTERVAL: Duration = Duration::from_secs(1);
     loop {
         context.timer.wait(INTERVAL).await;
-        context.board.flush();
+        context.recorder.flush();
     }
 }
 
--- a/crates/hollyhook_daemon/src/daemon/status.rs
+++ b/crates/hollyhook_daemon/src/daemon/status.rs
@@ -45,7 +45,7 @@
         cpu_ms: usage.cpu_ms,
         memory_bytes: usage.memory_bytes,
         endpoints,
-        counters: context.board.counter_rows(),
-        histograms: context.board.histogram_rows(),
+        counters: context.recorder.counter_rows(),
+        histograms: context.recorder.histogram_rows(),
     }
 }
--- a/crates/hollyhook_daemon/src/fleet/cancel_service.rs
+++ b/crates/hollyhook_daemon/src/fleet/cancel_service.rs
@@ -59,7 +59,7 @@
             return;
         }
     }
-    context.board.count("cancel_given_up");
+    context.recorder.count("cancel_given_up");
 }
 
 async fn try_order(context: &HostContext, order: &CancelOrder) -> bool {
@@ -69,7 +69,7 @@
     let call = context.engine.cancel(address, order.generation, order.attempt, CALL_TIMEOUT);
     let is_confirmed = call.await.is_ok();
     if is_confirmed {
-        context.board.count("cancel_confirmed");
+        context.recorder.count("cancel_confirmed");
     }
     is_confirmed
 }
--- a/crates/hollyhook_daemon/src/fleet/host_context.rs
+++ b/crates/hollyhook_daemon/src/fleet/host_context.rs
@@ -8,7 +8,7 @@
 use super::{CancelOrder, FleetTable, ProbeService, ResumeService};
 use crate::call::ClaimService;
 use crate::relay::TraceStore;
-use hollyhook_telemetry::MetricBoard;
+use hollyhook_telemetry::MetricRecorder;
 
 /// The services that a request needs, found by name once.
 #[derive(Debug)]
@@ -17,7 +17,7 @@
     pub(crate) zone: ZoneName,
     pub(crate) site: Arc<SiteSettings>,
     pub(crate) timer: Arc<TimerService>,
-    pub(crate) board: Arc<MetricBoard>,
+    pub(crate) recorder: Arc<MetricRecorder>,
     pub(crate) fleet: Arc<FleetTable>,
     pub(crate) seal: Arc<CursorSeal>,
     pub(crate) cancels: Arc<Mailbox<CancelOrder>>,
@@ -44,7 +44,7 @@
             zone: ZoneName::clone(&settings.zone),
             site: registry.find(Self::SITE)?,
             timer: registry.find(TimerService::NAME)?,
-            board: registry.find(MetricBoard::NAME)?,
+            recorder: registry.find(MetricRecorder::NAME)?,
             fleet: registry.find(FleetTable::NAME)?,
             seal: registry.find(Self::SEAL)?,
             cancels: registry.find(CancelOrder::SERVICE)?,
--- a/crates/hollyhook_daemon/src/fleet/load_poller.rs
+++ b/crates/hollyhook_daemon/src/fleet/load_poller.rs
@@ -37,7 +37,7 @@
 
 async fn poll(context: &HostContext, id: &EndpointId, address: SocketAddr) {
     let Ok(answer) = context.engine.load(address, TIMEOUT).await else {
-        context.board.count("load_poll_failed");
+        context.recorder.count("load_poll_failed");
         context.fleet.lock().record_failure(context.timer.now(), id);
         return;
     };
--- a/crates/hollyhook_daemon/src/fleet/probe_service.rs
+++ b/crates/hollyhook_daemon/src/fleet/probe_service.rs
@@ -47,10 +47,10 @@
         limit: Duration,
     ) -> ProbeReport {
         if self.turn(endpoint).await == ProbeTurn::Dead {
-            context.board.count("probe_shared");
+            context.recorder.count("probe_shared");
             return ProbeReport::Dead;
         }
-        context.board.count("probe_sent");
+        context.recorder.count("probe_sent");
         let report = match context.fleet.address(endpoint) {
             Some(address) => context.engine.probe(address, generation, limit).await,
             None => ProbeReport::Dead,
--- a/crates/hollyhook_daemon/src/front/generate.rs
+++ b/crates/hollyhook_daemon/src/front/generate.rs
@@ -25,7 +25,7 @@
     let bytes = read_body(request.take_body(), context.site.limits.body).await?;
     let caller = CallerRequest::parse(style, &bytes)?;
     let (service, settings) = find_service(&context, &caller)?;
-    caller.check(RequestLimits { context: settings.context })?;
+    caller.check(RequestLimits { context: settings.context_tokens })?;
     let cursor = read_cursor(&context, &request, account, &caller)?;
     let keyed = read_key(&request)?.map(|key| {
         // The request is part of the identity, so that a key used twice never leads to another request's answer.
--- a/crates/hollyhook_daemon/src/front/routes.rs
+++ b/crates/hollyhook_daemon/src/front/routes.rs
@@ -46,7 +46,7 @@
 
 /// Serves callers until the gate drains.
 pub(crate) async fn serve_front(server: HttpServer, state: FrontState) {
-    let board = Arc::clone(&state.context.board);
+    let recorder = Arc::clone(&state.context.recorder);
     let mut app = tide::with_state(state);
     app.at(ApiStyle::Completion.path()).post(|request| answer(generate::handle(request, ApiStyle::Completion)));
     app.at(ApiStyle::Chat.path()).post(|request| answer(generate::handle(request, ApiStyle::Chat)));
@@ -56,12 +56,12 @@
     app.at("/*").all(|request| answer(plain::handle(request)));
     let handler = move |request: http_types::Request| {
         let app = app.clone();
-        let board = Arc::clone(&board);
+        let recorder = Arc::clone(&recorder);
         async move {
-            board.count("request");
+            recorder.count("request");
             let response: http_types::Response = app.respond(request).await?;
             if response.status().is_client_error() || response.status().is_server_error() {
-                board.count("request_refused");
+                recorder.count("request_refused");
             }
             Ok(response)
         }
--- a/crates/hollyhook_daemon/src/relay/latency_tape.rs
+++ b/crates/hollyhook_daemon/src/relay/latency_tape.rs
@@ -3,7 +3,7 @@
 
 use hollyhook_core::{Name, TimePoint};
 
-use hollyhook_telemetry::{MetricBoard, MetricMeasure};
+use hollyhook_telemetry::{MetricMeasure, MetricRecorder};
 
 /// Samples gathered before the board's lock is taken.
 const GATHER: usize = 64;
@@ -11,7 +11,7 @@
 /// Times of one generation, handed to the board in batches.
 #[derive(Debug)]
 pub(super) struct LatencyTape {
-    board: Arc<MetricBoard>,
+    recorder: Arc<MetricRecorder>,
     account: Name,
     class: &'static str,
     arrived: TimePoint,
@@ -21,8 +21,8 @@
 }
 
 impl LatencyTape {
-    pub(super) fn new(board: Arc<MetricBoard>, account: Name, class: &'static str, arrived: TimePoint) -> Self {
-        Self { board, account, class, arrived, last_token: None, is_resuming: false, gaps: Vec::new() }
+    pub(super) fn new(recorder: Arc<MetricRecorder>, account: Name, class: &'static str, arrived: TimePoint) -> Self {
+        Self { recorder, account, class, arrived, last_token: None, is_resuming: false, gaps: Vec::new() }
     }
 
     pub(super) fn accepted(&self, now: TimePoint) {
@@ -62,7 +62,7 @@
     }
 
     fn record(&self, measure: MetricMeasure, spans: &[Duration]) {
-        self.board.record(measure, &self.account, self.class, spans);
+        self.recorder.record(measure, &self.account, self.class, spans);
     }
 }
 
--- a/crates/hollyhook_daemon/src/relay/relay_driver.rs
+++ b/crates/hollyhook_daemon/src/relay/relay_driver.rs
@@ -60,8 +60,8 @@
     pub(crate) fn new(context: Arc<HostContext>, task: RelayTask, start: GenerationStart, link: CallerLink) -> Self {
         let (sender, inbox) = async_channel::bounded(INBOX);
         let (pass_sender, pass) = async_channel::bounded(1);
-        let board = Arc::clone(&context.board);
-        let tape = LatencyTape::new(board, AccountName::clone(&task.account), task.class.label(), task.arrived);
+        let recorder = Arc::clone(&context.recorder);
+        let tape = LatencyTape::new(recorder, AccountName::clone(&task.account), task.class.label(), task.arrived);
         Self {
             request_digest: task.request.digest(),
             trace: context.keeps_traces.then(|| begin_trace(&task, &start.relay)),
@@ -85,7 +85,7 @@
     }
 
     pub(crate) async fn run(mut self) {
-        self.context.board.count("generation_started");
+        self.context.recorder.count("generation_started");
         self.handle(RelayEvent::Started).await;
         while self.relay.phase() != RelayPhase::Done {
             let event = self.next_event().await;
@@ -214,7 +214,7 @@
         self.attempt = None;
         let order = CancelOrder { endpoint, generation: self.generation, attempt };
         if self.context.cancels.post(order).is_err() {
-            self.context.board.count("cancel_dropped");
+            self.context.recorder.count("cancel_dropped");
         }
     }
 
@@ -255,8 +255,8 @@
 
     async fn complete(&mut self, reason: EndReason, tokens: u64) {
         let usage = self.attempt.take().and_then(|attempt| attempt.usage());
-        self.context.board.count("generation_completed");
-        self.context.board.count_by("tokens_delivered", tokens);
+        self.context.recorder.count("generation_completed");
+        self.context.recorder.count_by("tokens_delivered", tokens);
         let prompt = usage.map_or_else(|| self.task.request.prompt_tokens(), |usage| usage.prompt_tokens);
         let usage = EngineUsage { prompt_tokens: prompt, completion_tokens: tokens, total_tokens: prompt + tokens };
         let text = if self.link.is_streaming() { String::new() } else { self.relay.log().text().to_owned() };
@@ -266,7 +266,7 @@
 
     async fn fail(&mut self, kind: ErrorKind, delivered: u64) {
         self.attempt = None;
-        self.context.board.count("generation_failed");
+        self.context.recorder.count("generation_failed");
         let mut error = Error::new(kind, failure_text(kind, delivered, &self.task));
         if kind.has_retry_after() {
             error = error.retry_after(RETRY_AFTER + RETRY_AFTER.mul_f64(rand::random()));
@@ -275,7 +275,7 @@
     }
 
     fn note(&mut self, note: RelayCounter) {
-        self.context.board.count(note.label());
+        self.context.recorder.count(note.label());
         match note {
             RelayCounter::Resumed | RelayCounter::Reattached | RelayCounter::Replayed => self.tape.lost(),
             _ => {}
--- a/crates/hollyhook_daemon/src/relay/takeover.rs
+++ b/crates/hollyhook_daemon/src/relay/takeover.rs
@@ -43,7 +43,7 @@
     };
     let relay = match find_keyed(context, service, settings, generation).await {
         Some((endpoint, held)) => {
-            context.board.count("takeover_by_key");
+            context.recorder.count("takeover_by_key");
             relay.taken_over(Some(endpoint), held.attempt.takeover(), 0, PrefixDigest::default())
         }
         None => relay,
@@ -56,7 +56,7 @@
         Some(address) => context.engine.find(address, cursor.generation, FIND_TIMEOUT).await.ok().flatten(),
         None => None,
     };
-    context.board.count(if held.is_some() { "takeover_by_cursor" } else { "takeover_by_replay" });
+    context.recorder.count(if held.is_some() { "takeover_by_cursor" } else { "takeover_by_replay" });
     let newest = held.map_or(AttemptNumber::FIRST, |held| held.attempt).max(cursor.attempt);
     let endpoint = held.map(|_| EndpointId::clone(&cursor.endpoint));
     GenerationStart {
--- a/crates/hollyhook_gateway/src/forward/backup_replicator.rs
+++ b/crates/hollyhook_gateway/src/forward/backup_replicator.rs
@@ -176,7 +176,7 @@
         };
         match unused {
             Some(name) => free_copy(Arc::clone(&self.context), self.run_target.clone(), name).await,
-            None if self.copied_at.is_some() => self.context.board.count("backups_copied"),
+            None if self.copied_at.is_some() => self.context.recorder.count("backups_copied"),
             None => {}
         }
     }
--- a/crates/hollyhook_gateway/src/forward/crash_check.rs
+++ b/crates/hollyhook_gateway/src/forward/crash_check.rs
@@ -43,7 +43,7 @@
         context.quarantine.record_unanswered(caller.digest(), &target.id);
     }
     if has_crashed {
-        context.board.count("endpoint_crashes");
+        context.recorder.count("endpoint_crashes");
         request_log::crashed(context, caller, &target.id);
         context.quarantine.record_crash(caller.digest(), &target.id);
         QuarantineWriter::wake(context);
--- a/crates/hollyhook_gateway/src/forward/request_log.rs
+++ b/crates/hollyhook_gateway/src/forward/request_log.rs
@@ -58,7 +58,7 @@
 
 /// Records that a stream resumed after an attempt was lost.
 pub(super) fn resumed(context: &GatewayContext, caller: &CallerRequest, resume: &StreamResume) {
-    context.board.record_cause(MetricMeasure::ResumeLatency, resume.cause, resume.span);
+    context.recorder.record_cause(MetricMeasure::ResumeLatency, resume.cause, resume.span);
     let pause_ms = resume.span.as_millis() as u64;
     tracing::info!(request = %caller.head.attempt_id, route = %caller.route.name, cause = resume.cause, pause_ms,
         "stream.resumed");
@@ -67,8 +67,8 @@
 /// Records that a plain call was answered with an endpoint's response; `last` is the last attempt.
 pub(super) fn answered(context: &GatewayContext, caller: &CallerRequest, status: u16, last: &CallTrace, attempts: u32) {
     let age = context.timer.now().since(caller.arrived);
-    context.board.count("requests_answered");
-    context.board.record(MetricMeasure::PlainCall, &account_label(caller), &caller.route.name, &[age]);
+    context.recorder.count("requests_answered");
+    context.recorder.record(MetricMeasure::PlainCall, &account_label(caller), &caller.route.name, &[age]);
     let age_ms = age.as_millis() as u64;
     tracing::info!(request = %caller.head.attempt_id, route = %caller.route.name, service = %caller.service,
         site_version = caller.site_version, status, endpoint = last.endpoint.as_deref(), known_ms = last.known_ms,
@@ -79,14 +79,14 @@
 pub(super) fn streamed(context: &GatewayContext, caller: &CallerRequest, timing: &StreamTiming, attempts: u32) {
     let age_ms = context.timer.now().since(caller.arrived).as_millis() as u64;
     let account = account_label(caller);
-    context.board.count("requests_streamed");
+    context.recorder.count("requests_streamed");
     if let Some(first) = timing.first() {
         let first = first.since(caller.arrived);
-        context.board.record(MetricMeasure::FirstToken, &account, &caller.route.name, &[first]);
+        context.recorder.record(MetricMeasure::FirstToken, &account, &caller.route.name, &[first]);
     }
-    context.board.record(MetricMeasure::LongestGap, &account, &caller.route.name, &[timing.longest_gap()]);
+    context.recorder.record(MetricMeasure::LongestGap, &account, &caller.route.name, &[timing.longest_gap()]);
     if !timing.resumes().is_empty() {
-        context.board.record(MetricMeasure::ResumeLatency, &account, &caller.route.name, timing.resumes());
+        context.recorder.record(MetricMeasure::ResumeLatency, &account, &caller.route.name, timing.resumes());
     }
     let first_ms = timing.first().map(|first| first.since(caller.arrived).as_millis() as u64);
     let longest_gap_ms = timing.longest_gap().as_millis() as u64;
@@ -97,7 +97,7 @@
 
 /// Records that a request ended with an error: refused, cut off, or with an unknown outcome.
 pub(super) fn ended(context: &GatewayContext, caller: &CallerRequest, error: &Error, attempts: u32) {
-    context.board.count(ended_counter(error));
+    context.recorder.count(ended_counter(error));
     let age_ms = context.timer.now().since(caller.arrived).as_millis() as u64;
     tracing::info!(request = %caller.head.attempt_id, route = %caller.route.name, service = %caller.service,
         site_version = caller.site_version, kind = %error.kind(), attempts, age_ms,
--- a/crates/hollyhook_gateway/src/front/request_handler.rs
+++ b/crates/hollyhook_gateway/src/front/request_handler.rs
@@ -29,7 +29,7 @@
     let mut response = match admit(parts, body, context).await {
         Ok(caller) => forward(context, caller).await,
         Err(error) => {
-            context.board.count("requests_refused");
+            context.recorder.count("requests_refused");
             let version = context.site().map(|site| site.version());
             let confirmed_ms_ago = context.site_age().map(|age| age.as_millis() as u64);
             tracing::info!(request = id, kind = %error.kind(), site_version = version, confirmed_ms_ago,
--- a/crates/hollyhook_gateway/src/front/status_server.rs
+++ b/crates/hollyhook_gateway/src/front/status_server.rs
@@ -55,7 +55,7 @@
     if path != METRICS_PATH {
         return empty(StatusCode::NOT_FOUND);
     }
-    match context.board.to_text() {
+    match context.recorder.to_text() {
         Ok(text) => {
             let mut response = Response::new(Full::from(text));
             response.headers_mut().insert(CONTENT_TYPE, METRICS_TYPE);
--- a/crates/hollyhook_gateway/src/gateway/endpoint_directory.rs
+++ b/crates/hollyhook_gateway/src/gateway/endpoint_directory.rs
@@ -6,7 +6,7 @@
     LoadReport, Name, Result, RouteQuery, SiteIndex, SiteState, StopReason, TimePoint, ZoneName,
 };
 use hollyhook_kernel::{ServiceRegistry, TimerService};
-use hollyhook_telemetry::MetricBoard;
+use hollyhook_telemetry::MetricRecorder;
 
 use crate::peer::FeedBoard;
 use crate::pool::ConnectionPool;
@@ -31,7 +31,7 @@
 pub(crate) struct EndpointDirectory {
     timer: Arc<TimerService>,
     pool: Arc<ConnectionPool>,
-    board: Arc<MetricBoard>,
+    recorder: Arc<MetricRecorder>,
     feed: Arc<FeedBoard>,
     site: Arc<Mutex<SiteState>>,
     table: Mutex<EndpointTable>,
@@ -55,7 +55,7 @@
         Ok(Self {
             timer: registry.find(TimerService::NAME)?,
             pool: registry.find(ConnectionPool::NAME)?,
-            board: registry.find(MetricBoard::NAME)?,
+            recorder: registry.find(MetricRecorder::NAME)?,
             feed: registry.find(FeedBoard::NAME)?,
             site: registry.find(site)?,
             table: Mutex::new(EndpointTable::new(ZoneName::clone(zone)).zone_preference(ZONE_PREFERENCE)),
@@ -108,7 +108,7 @@
         }
         let known = table.get(&record.id).map(|known| known.state);
         if known.is_none() {
-            self.board.count("endpoints_started");
+            self.recorder.count("endpoints_started");
         }
         let record = table.upsert(record);
         if known != Some(record.state) {
@@ -127,7 +127,7 @@
             self.note_lost(&table, &id);
             table.remove(&id);
             self.pool.close_idle(&id);
-            self.board.count("endpoints_gone");
+            self.recorder.count("endpoints_gone");
             tracing::info!(endpoint = %id, reason, "endpoint.gone");
         }
     }
@@ -190,7 +190,7 @@
         if let Some(span) = terms.pause
             && self.table().terms_mut().extend_pause(now, id, span)
         {
-            self.board.count("endpoint_pauses");
+            self.recorder.count("endpoint_pauses");
             tracing::info!(endpoint = %id, pause_ms = span.as_millis() as u64, "endpoint.pause");
         }
     }
@@ -227,7 +227,7 @@
     pub(crate) fn lack(&self, query: &RouteQuery<'_>) -> EndpointLack {
         match self.table().shortest_pause(self.timer.now(), query) {
             Some(pause) => {
-                self.board.count("requests_held_back");
+                self.recorder.count("requests_held_back");
                 EndpointLack { reason: StopReason::Throttled, pause }
             }
             None => EndpointLack { reason: StopReason::NoEndpoint, pause: Duration::ZERO },
@@ -267,7 +267,7 @@
 
     /// Takes in what became of an attempt.
     pub(crate) fn note_outcome(&self, id: &EndpointId, failure: Option<AttemptFailure>) {
-        self.board.count(failure.map_or("attempts_succeeded", attempt_counter));
+        self.recorder.count(failure.map_or("attempts_succeeded", attempt_counter));
         let mut table = self.table();
         match failure {
             None => {
--- a/crates/hollyhook_gateway/src/gateway/gateway_context.rs
+++ b/crates/hollyhook_gateway/src/gateway/gateway_context.rs
@@ -9,7 +9,7 @@
 };
 use hollyhook_kernel::{ServiceRegistry, TimerService, WallClock};
 use hollyhook_settings::GatewaySettings;
-use hollyhook_telemetry::MetricBoard;
+use hollyhook_telemetry::MetricRecorder;
 
 use super::EndpointDirectory;
 use super::live_settings::LiveSettings;
@@ -47,7 +47,7 @@
     pub(crate) zone: ZoneName,
     pub(crate) timer: Arc<TimerService>,
     pub(crate) pool: Arc<ConnectionPool>,
-    pub(crate) board: Arc<MetricBoard>,
+    pub(crate) recorder: Arc<MetricRecorder>,
     pub(crate) load: Arc<RequestLoad>,
     pub(crate) feed: Arc<FeedBoard>,
     pub(crate) endpoints: Arc<EndpointDirectory>,
@@ -73,7 +73,7 @@
         registry.register(ConnectionPool::NAME, ConnectionPool::new(TimerService::clone(&timer)))?;
         let feed = FeedBoard::new(Name::clone(&settings.host), ZoneName::clone(&settings.zone), settings.link_mbps);
         registry.register(FeedBoard::NAME, feed)?;
-        registry.register(MetricBoard::NAME, MetricBoard::default())?;
+        registry.register(MetricRecorder::NAME, MetricRecorder::default())?;
         registry.register(RequestLoad::NAME, RequestLoad::new(settings.memory_bytes))?;
         registry.register(Self::SETTINGS, Mutex::new(LiveSettings::from(settings)))?;
         registry.register(Self::SITE, Mutex::new(SiteState::default()))?;
@@ -96,7 +96,7 @@
             zone: ZoneName::clone(&settings.zone),
             timer: registry.find(TimerService::NAME)?,
             pool: registry.find(ConnectionPool::NAME)?,
-            board: registry.find(MetricBoard::NAME)?,
+            recorder: registry.find(MetricRecorder::NAME)?,
             load: registry.find(RequestLoad::NAME)?,
             feed: registry.find(FeedBoard::NAME)?,
             live: registry.find(Self::SETTINGS)?,
--- a/crates/hollyhook_gateway/src/gateway/quarantine_board.rs
+++ b/crates/hollyhook_gateway/src/gateway/quarantine_board.rs
@@ -6,7 +6,7 @@
 use hollyhook_core::{CrashLedger, CrashRecords, EndpointId, Name, QuarantineChange, RequestDigest, Result};
 use hollyhook_kernel::ServiceRegistry;
 use hollyhook_platform::StoreObject;
-use hollyhook_telemetry::MetricBoard;
+use hollyhook_telemetry::MetricRecorder;
 
 use super::unix_time::unix_millis;
 use crate::sync::lock;
@@ -14,7 +14,7 @@
 /// The requests that end the endpoints which run them, and what the platform's store holds of these.
 #[derive(Debug)]
 pub(crate) struct QuarantineBoard {
-    board: Arc<MetricBoard>,
+    recorder: Arc<MetricRecorder>,
     ledger: Mutex<CrashLedger>,
     /// What is noted at endpoints' entries, by entry.
     noted: Mutex<BTreeMap<Name, CrashRecords>>,
@@ -33,7 +33,7 @@
     /// `Internal` if one of them is not registered.
     pub(crate) fn new(registry: &ServiceRegistry) -> Result<Self> {
         Ok(Self {
-            board: registry.find(MetricBoard::NAME)?,
+            recorder: registry.find(MetricRecorder::NAME)?,
             ledger: Mutex::default(),
             noted: Mutex::default(),
             is_writing: AtomicBool::new(false),
@@ -170,7 +170,7 @@
 
     fn log(&self, change: &QuarantineChange) {
         for digest in &change.refused {
-            self.board.count("requests_quarantined");
+            self.recorder.count("requests_quarantined");
             tracing::warn!(%digest, "quarantine.begun");
         }
         for digest in &change.cleared {
--- a/crates/hollyhook_gateway/src/gateway/rollout_board.rs
+++ b/crates/hollyhook_gateway/src/gateway/rollout_board.rs
@@ -10,7 +10,7 @@
 };
 use hollyhook_kernel::{ServiceRegistry, TimerService};
 use hollyhook_platform::{StoreObject, TrialReport};
-use hollyhook_telemetry::MetricBoard;
+use hollyhook_telemetry::MetricRecorder;
 use rand::Rng;
 
 use super::EndpointDirectory;
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub(crate) struct RolloutBoard {
     timer: Arc<TimerService>,
-    board: Arc<MetricBoard>,
+    recorder: Arc<MetricRecorder>,
     endpoints: Arc<EndpointDirectory>,
     state: Mutex<BoardState>,
     waiters: WakeList,
@@ -78,7 +78,7 @@
     pub(crate) fn new(registry: &ServiceRegistry, exposure: Option<f64>) -> Result<Self> {
         Ok(Self {
             timer: registry.find(TimerService::NAME)?,
-            board: registry.find(MetricBoard::NAME)?,
+            recorder: registry.find(MetricRecorder::NAME)?,
             endpoints: registry.find(EndpointDirectory::NAME)?,
             state: Mutex::new(BoardState { exposure, ..BoardState::default() }),
             waiters: WakeList::default(),
@@ -200,7 +200,7 @@
         tally.record(answer.is_failure, answer.first, answer.gap);
         drop(state);
         if is_target {
-            self.board.count(if answer.is_failure { "trial_answers_failed" } else { "trial_answers_good" });
+            self.recorder.count(if answer.is_failure { "trial_answers_failed" } else { "trial_answers_good" });
         }
     }
 
@@ -260,7 +260,7 @@
         match hollyhook_platform::decode_order(object) {
             Ok(order) => self.take_order(object, order),
             Err(error) => {
-                self.board.count("rollouts_malformed");
+                self.recorder.count("rollouts_malformed");
                 tracing::error!(%error, service = %object.name, revision = object.revision, "rollout.malformed");
                 lock(&self.state).blocked.insert(Name::clone(&object.name));
             }
--- a/crates/hollyhook_gateway/src/peer/host_register.rs
+++ b/crates/hollyhook_gateway/src/peer/host_register.rs
@@ -130,7 +130,7 @@
         let members: Vec<HostRecord> = self.zones.values().flatten().cloned().collect();
         tracing::debug!(hosts = members.len(), "hosts.listed");
         self.context.feed.list_members(members);
-        self.context.board.count("hosts_listed");
+        self.context.recorder.count("hosts_listed");
     }
 
     async fn list(&mut self, zone: &ZoneName) -> Result<Vec<HostRecord>, StoreError> {
--- a/crates/hollyhook_gateway/src/store/feed_reader.rs
+++ b/crates/hollyhook_gateway/src/store/feed_reader.rs
@@ -114,7 +114,7 @@
                     self.context.feed.forgive();
                 }
                 if is_away && let Some(mut news) = self.ask_hosts(PeerRole::Helper, &self.helpers()).await {
-                    self.context.board.count("helped_by_hosts");
+                    self.context.recorder.count("helped_by_hosts");
                     self.is_helped = true;
                     // Who was helped tells nobody: what it knows may be older than others would wait for.
                     news.hops = u32::MAX;
@@ -200,7 +200,7 @@
         match role {
             PeerRole::Leader | PeerRole::Source | PeerRole::ListSource => {
                 tracing::info!(leader = %host.host, kind = self.kind.as_str(), reason = fault.why, "leader.passed_over");
-                self.context.board.count("leaders_passed_over");
+                self.context.recorder.count("leaders_passed_over");
                 self.context.feed.pass_over(now, &host.host, fault.reason);
             }
             PeerRole::Helper => {
@@ -266,7 +266,7 @@
 
     /// Counts a call without an answer, and logs the first.
     fn note_lost(&mut self, asked_at: TimePoint, error: &StoreError) {
-        self.context.board.count("store_calls_failed");
+        self.context.recorder.count("store_calls_failed");
         if self.lost_at.is_none() {
             self.lost_at = Some(asked_at);
             let call_ms = self.millis_since(asked_at);
--- a/crates/hollyhook_gateway/src/store/rollout_worker.rs
+++ b/crates/hollyhook_gateway/src/store/rollout_worker.rs
@@ -118,7 +118,7 @@
             answers = evidence.target_answers(), failures,
             others_answers = others.clone().map(|tally| tally.answers).sum::<u32>(),
             others_failures = others.map(|tally| tally.failures).sum::<u32>(), "rollout.written");
-        self.context.board.count(match state {
+        self.context.recorder.count(match state {
             RolloutState::Trial => "rollouts_begun",
             RolloutState::Moving => "rollouts_moving",
             RolloutState::Completed => "rollouts_completed",
--- a/crates/hollyhook_settings/src/file/setting_error.rs
+++ b/crates/hollyhook_settings/src/file/setting_error.rs
@@ -14,9 +14,9 @@
     /// The key, if it is about one.
     pub key: Option<Name>,
     /// What is wrong.
-    pub wrong: Name,
+    pub problem: Name,
     /// What would be right.
-    pub right: Name,
+    pub hint: Name,
 }
 
 impl fmt::Display for SettingError {
@@ -29,7 +29,7 @@
         if let Some(key) = &self.key {
             write!(f, " {key}")?;
         }
-        write!(f, ": {}; {}", self.wrong, self.right)
+        write!(f, ": {}; {}", self.problem, self.hint)
     }
 }
 
--- a/crates/hollyhook_settings/src/file/setting_file.rs
+++ b/crates/hollyhook_settings/src/file/setting_file.rs
@@ -40,8 +40,8 @@
             line: key.map_or(self.line, |entry| entry.line),
             section: Name::clone(&self.title),
             key: key.map(|entry| Name::clone(&entry.key)),
-            wrong: wrong.into(),
-            right: right.into(),
+            problem: wrong.into(),
+            hint: right.into(),
         }
     }
 }
@@ -146,8 +146,8 @@
         line,
         section: "".into(),
         key: None,
-        wrong: wrong.into(),
-        right: right.into(),
+        problem: wrong.into(),
+        hint: right.into(),
     }
 }
 
--- a/crates/hollyhook_settings/src/gateway/gateway_settings.rs
+++ b/crates/hollyhook_settings/src/gateway/gateway_settings.rs
@@ -42,7 +42,7 @@
 
 impl GatewaySettings {
     /// Whether a file is for a gateway rather than for a daemon with a site of its own.
-    pub fn is_for(file: &SettingFile) -> bool {
+    pub fn is_gateway_file(file: &SettingFile) -> bool {
         file.has_section("gateway")
     }
 
--- a/crates/hollyhook_settings/src/site/service_settings.rs
+++ b/crates/hollyhook_settings/src/site/service_settings.rs
@@ -58,7 +58,7 @@
     /// The weights.
     pub binding: ModelBinding,
     /// Tokens of prompt and output together.
-    pub context: u64,
+    pub context_tokens: u64,
     /// How generations are guarded.
     pub policy: RelayPolicy,
 }
@@ -69,7 +69,7 @@
     /// The path prefix that leads to it.
     pub prefix: Name,
     /// The methods whose calls may be repeated.
-    pub repeatable: Vec<Name>,
+    pub repeatable_methods: Vec<Name>,
     /// How long a call may take.
     pub timeout: Duration,
 }
@@ -77,7 +77,7 @@
 impl PlainSettings {
     /// Whether calls by that method may be repeated.
     pub fn is_repeatable(&self, method: &str) -> bool {
-        self.repeatable.iter().any(|repeatable| repeatable.eq_ignore_ascii_case(method))
+        self.repeatable_methods.iter().any(|repeatable| repeatable.eq_ignore_ascii_case(method))
     }
 }
 
@@ -131,7 +131,7 @@
     }
     let mut binding = ModelBinding::new(model?, version?);
     binding.adapter = adapter;
-    Some(GenerationSettings { binding, context: context?, policy })
+    Some(GenerationSettings { binding, context_tokens: context?, policy })
 }
 
 fn read_plain(reader: &mut SectionReader<'_>) -> Option<PlainSettings> {
@@ -140,5 +140,5 @@
     let prefix = reader.required("prefix", value::path);
     let repeatable = reader.default("repeatable", vec!["GET".into(), "HEAD".into()], value::names);
     let timeout = reader.default("timeout", Duration::from_secs(10), value::span(LEAST, MOST));
-    Some(PlainSettings { prefix: prefix?, repeatable, timeout })
+    Some(PlainSettings { prefix: prefix?, repeatable_methods: repeatable, timeout })
 }
--- a/crates/hollyhook_telemetry/src/lib.rs
+++ b/crates/hollyhook_telemetry/src/lib.rs
@@ -3,5 +3,5 @@
 mod log;
 mod metric;
 
-pub use log::{LogGuard, LogTarget, LogVolume, init_log};
-pub use metric::{MetricBoard, MetricMeasure, MetricScope, ProcessUsage};
+pub use log::{LogGuard, LogLimiter, LogTarget, init_log};
+pub use metric::{MetricMeasure, MetricRecorder, MetricScope, ProcessUsage};
--- a/crates/hollyhook_telemetry/src/log/log_volume.rs
+++ b/crates/hollyhook_telemetry/src/log/log_limiter.rs
@@ -15,7 +15,7 @@
 ///
 /// Warnings and errors are never left out: they tell of changes of state, which are few.
 #[derive(Debug, Clone, Default)]
-pub struct LogVolume {
+pub struct LogLimiter {
     kinds: Arc<Mutex<BTreeMap<LineKind, KindVolume>>>,
 }
 
@@ -28,7 +28,7 @@
     left_out: u64,
 }
 
-impl LogVolume {
+impl LogLimiter {
     /// Whether one more line of a kind is written at that moment.
     pub fn admits(&self, file: &'static str, line: u32, now: Instant) -> bool {
         let mut kinds = self.kinds.lock().unwrap_or_else(PoisonError::into_inner);
@@ -47,7 +47,7 @@
     }
 
     /// The lines left out since the last call, by the place in the code that would have written them.
-    pub fn take_left_out(&self) -> Vec<(Name, u64)> {
+    pub fn take_suppressed(&self) -> Vec<(Name, u64)> {
         let mut kinds = self.kinds.lock().unwrap_or_else(PoisonError::into_inner);
         let left_out = kinds.iter_mut().filter(|(_, volume)| volume.left_out > 0);
         left_out
@@ -56,7 +56,7 @@
     }
 }
 
-impl<S: Subscriber> Filter<S> for LogVolume {
+impl<S: Subscriber> Filter<S> for LogLimiter {
     fn enabled(&self, _metadata: &Metadata<'_>, _context: &Context<'_, S>) -> bool {
         true
     }
--- a/crates/hollyhook_telemetry/src/log/log_output.rs
+++ b/crates/hollyhook_telemetry/src/log/log_output.rs
@@ -5,7 +5,7 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{EnvFilter, Layer};
 
-use super::LogVolume;
+use super::LogLimiter;
 
 /// Lines that wait to be written; more are dropped and counted.
 const MOST_WAITING: usize = 1_024;
@@ -23,14 +23,14 @@
 #[derive(Debug)]
 pub struct LogGuard {
     /// Lines that were left out by kind.
-    pub volume: LogVolume,
+    pub limiter: LogLimiter,
     dropped: ErrorCounter,
     _worker: WorkerGuard,
 }
 
 impl LogGuard {
     /// Lines dropped since the start because the output took them too slowly.
-    pub fn dropped(&self) -> usize {
+    pub fn dropped_lines(&self) -> usize {
         self.dropped.dropped_lines()
     }
 }
@@ -50,14 +50,14 @@
         LogTarget::Stderr => builder.finish(std::io::stderr()),
     };
     let dropped = writer.error_counter();
-    let volume = LogVolume::default();
+    let limiter = LogLimiter::default();
     let layer = tracing_subscriber::fmt::layer().with_writer(writer);
     let layer = match format {
         LogFormat::Text => layer.with_ansi(false).boxed(),
         LogFormat::Json => layer.json().flatten_event(true).boxed(),
     };
-    let layer = layer.with_filter(volume.clone());
+    let layer = layer.with_filter(limiter.clone());
     let outcome = tracing_subscriber::registry().with(filter).with(layer).try_init();
     outcome.map_err(|error| Error::new(ErrorKind::Conflict, error.to_string()))?;
-    Ok(LogGuard { volume, dropped, _worker: worker })
+    Ok(LogGuard { limiter, dropped, _worker: worker })
 }
--- a/crates/hollyhook_telemetry/src/metric/metric_board.rs
+++ b/crates/hollyhook_telemetry/src/metric/metric_recorder.rs
@@ -93,13 +93,13 @@
 
 /// All counters and histograms of a process.
 #[derive(Debug, Default)]
-pub struct MetricBoard {
+pub struct MetricRecorder {
     counters: Mutex<BTreeMap<&'static str, u64>>,
     histograms: Mutex<BTreeMap<HistogramKey, Histogram<u32>>>,
     statsd: Option<StatsdClient>,
 }
 
-impl MetricBoard {
+impl MetricRecorder {
     /// The name that the service is registered under.
     pub const NAME: &'static str = "metrics";
 
--- a/crates/hollyhook_telemetry/src/metric/metric_text.rs
+++ b/crates/hollyhook_telemetry/src/metric/metric_text.rs
@@ -10,14 +10,14 @@
 use prometheus_client::metrics::gauge::ConstGauge;
 use prometheus_client::registry::Registry;
 
-use super::metric_board::HistogramKey;
-use super::{MetricBoard, MetricMeasure, ProcessUsage};
+use super::metric_recorder::HistogramKey;
+use super::{MetricMeasure, MetricRecorder, ProcessUsage};
 
 /// Upper bounds of the buckets that scrapers see, in seconds: from a plain call to a generation of minutes.
 const BOUNDS: [f64; 13] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.7, 1.0, 2.5, 4.5, 25.0];
 const MICROS: f64 = 1e6;
 
-impl MetricBoard {
+impl MetricRecorder {
     /// All counters and histograms as scrapers read them.
     ///
     /// # Errors
@@ -51,11 +51,12 @@
     buckets: Vec<(f64, u64)>,
 }
 
-impl From<&MetricBoard> for BoardSnapshot {
-    fn from(board: &MetricBoard) -> Self {
-        let counters = board.counter_rows().into_iter().map(|row| (row.counter.replace('.', "_"), row.value)).collect();
+impl From<&MetricRecorder> for BoardSnapshot {
+    fn from(recorder: &MetricRecorder) -> Self {
+        let counters =
+            recorder.counter_rows().into_iter().map(|row| (row.counter.replace('.', "_"), row.value)).collect();
         let mut histograms: BTreeMap<MetricMeasure, Vec<HistogramSnapshot>> = BTreeMap::new();
-        board.visit_histograms(|key, histogram| {
+        recorder.visit_histograms(|key, histogram| {
             histograms.entry(key.measure).or_default().push(snapshot(key, histogram));
         });
         Self { counters, histograms, usage: ProcessUsage::read() }
--- a/crates/hollyhook_telemetry/tests/log_volume.rs
+++ b/crates/hollyhook_telemetry/tests/log_limiter.rs
@@ -2,16 +2,16 @@
 
 use std::time::{Duration, Instant};
 
-use hollyhook_telemetry::LogVolume;
+use hollyhook_telemetry::LogLimiter;
 
 #[test]
 fn volume_bounded_by_kind() {
-    let volume = LogVolume::default();
+    let volume = LogLimiter::default();
     let start = Instant::now();
     let admitted = (0..1_000).filter(|_| volume.admits("a.rs", 1, start)).count();
     assert_eq!(admitted, 200);
     assert!(volume.admits("a.rs", 2, start), "another kind has a bound of its own");
     assert!(volume.admits("a.rs", 1, start + Duration::from_secs(1)), "the next second begins anew");
-    assert_eq!(volume.take_left_out(), [("a.rs:1".into(), 800)]);
-    assert!(volume.take_left_out().is_empty(), "each is told once");
+    assert_eq!(volume.take_suppressed(), [("a.rs:1".into(), 800)]);
+    assert!(volume.take_suppressed().is_empty(), "each is told once");
 }
--- a/crates/hollyhook_telemetry/tests/metrics.rs
+++ b/crates/hollyhook_telemetry/tests/metrics.rs
@@ -3,19 +3,19 @@
 use std::net::UdpSocket;
 use std::time::Duration;
 
-use hollyhook_telemetry::{MetricBoard, MetricMeasure};
+use hollyhook_telemetry::{MetricMeasure, MetricRecorder};
 
 #[test]
 fn statsd_receives_after_flush() {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let board = MetricBoard::with_statsd(socket.local_addr().unwrap(), "host-1").unwrap();
-    board.count("request");
-    board.record(MetricMeasure::FirstToken, &"office".into(), "long", &[Duration::from_millis(7)]);
+    let recorder = MetricRecorder::with_statsd(socket.local_addr().unwrap(), "host-1").unwrap();
+    recorder.count("request");
+    recorder.record(MetricMeasure::FirstToken, &"office".into(), "long", &[Duration::from_millis(7)]);
     // The sink's own thread may not have written a metric yet when a flush comes; the daemon flushes every second.
     socket.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
     let mut received = String::new();
     for _ in 0..500 {
-        board.flush();
+        recorder.flush();
         let mut datagram = [0; 2_048];
         if let Ok(count) = socket.recv(&mut datagram) {
             received.push_str(std::str::from_utf8(&datagram[..count]).unwrap());
@@ -33,11 +33,11 @@
 
 #[test]
 fn histograms_by_account_and_class() {
-    let board = MetricBoard::default();
+    let recorder = MetricRecorder::default();
     let spans: Vec<Duration> = (1..=100).map(Duration::from_millis).collect();
-    board.record(MetricMeasure::BetweenTokens, &"office".into(), "long", &spans);
-    board.record(MetricMeasure::BetweenTokens, &"clerk".into(), "long", &spans[..10]);
-    let rows = board.histogram_rows();
+    recorder.record(MetricMeasure::BetweenTokens, &"office".into(), "long", &spans);
+    recorder.record(MetricMeasure::BetweenTokens, &"clerk".into(), "long", &spans[..10]);
+    let rows = recorder.histogram_rows();
     let row = |name: &str| rows.iter().find(|row| &*row.name == name).unwrap();
     assert_eq!((row("office").count, row("clerk").count, row("long").count), (100, 10, 110));
     // Three digits for a class, one for an account.
@@ -47,12 +47,12 @@
 
 #[test]
 fn classes_bounded() {
-    let board = MetricBoard::default();
+    let recorder = MetricRecorder::default();
     for number in 0..1_000 {
         let class = format!("class-{number}");
-        board.record(MetricMeasure::PlainCall, &"office".into(), &class, &[Duration::from_millis(1)]);
+        recorder.record(MetricMeasure::PlainCall, &"office".into(), &class, &[Duration::from_millis(1)]);
     }
-    let rows = board.histogram_rows();
+    let rows = recorder.histogram_rows();
     let classes = rows.iter().filter(|row| &*row.scope == "class");
     assert_eq!(classes.clone().count(), 65);
     assert_eq!(classes.map(|row| row.count).sum::<u64>(), 1_000);
