--- a/crates/hollyhook_telemetry/src/lib.rs
+++ b/crates/hollyhook_telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! What a process tells its operators: log lines, counters and histograms.
+//! Log output of a process, and its counters and latency histograms.
 
 mod log;
 mod metric;
--- a/crates/hollyhook_telemetry/src/log/log_limiter.rs
+++ b/crates/hollyhook_telemetry/src/log/log_limiter.rs
@@ -6,52 +6,52 @@
 use tracing::{Event, Level, Metadata, Subscriber};
 use tracing_subscriber::layer::{Context, Filter};
 
-/// Lines a second of one kind. A host of the smallest size serves a few dozen requests a second; what goes beyond this
-/// is a burst whose lines are alike.
-const MOST_LINES: u32 = 200;
-const SECOND: Duration = Duration::from_secs(1);
+/// Maximum number of log lines per second from one call site. A host of the smallest size serves a few dozen requests
+/// per second, so that lines beyond this limit belong to a burst of similar lines.
+const MAX_LINES_PER_SECOND: u32 = 200;
+const WINDOW: Duration = Duration::from_secs(1);
 
-/// Bounds the lines of each kind, a kind being a place in the code; counts what it leaves out.
+/// Limits the rate of log lines of each call site (file and line in the source), and counts the suppressed lines.
 ///
-/// Warnings and errors are never left out: they tell of changes of state, which are few.
+/// Warnings and errors are never suppressed: they report changes of state, which are rare.
 #[derive(Debug, Clone, Default)]
 pub struct LogLimiter {
-    kinds: Arc<Mutex<BTreeMap<LineKind, KindVolume>>>,
+    windows: Arc<Mutex<BTreeMap<CallSite, CallSiteWindow>>>,
 }
 
-type LineKind = (&'static str, u32);
+type CallSite = (&'static str, u32);
 
 #[derive(Debug)]
-struct KindVolume {
-    second_began: Instant,
+struct CallSiteWindow {
+    started_at: Instant,
     lines: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
 impl LogLimiter {
-    /// Whether one more line of a kind is written at that moment.
+    /// Returns whether the call site may write one more line at `now`; counts the line as written or suppressed.
     pub fn admits(&self, file: &'static str, line: u32, now: Instant) -> bool {
-        let mut kinds = self.kinds.lock().unwrap_or_else(PoisonError::into_inner);
-        let new = || KindVolume { second_began: now, lines: 0, left_out: 0 };
-        let volume = kinds.entry((file, line)).or_insert_with(new);
-        if now.saturating_duration_since(volume.second_began) >= SECOND {
-            volume.second_began = now;
-            volume.lines = 0;
+        let mut windows = self.windows.lock().unwrap_or_else(PoisonError::into_inner);
+        let new = || CallSiteWindow { started_at: now, lines: 0, suppressed: 0 };
+        let window = windows.entry((file, line)).or_insert_with(new);
+        if now.saturating_duration_since(window.started_at) >= WINDOW {
+            window.started_at = now;
+            window.lines = 0;
         }
-        if volume.lines >= MOST_LINES {
-            volume.left_out += 1;
+        if window.lines >= MAX_LINES_PER_SECOND {
+            window.suppressed += 1;
             return false;
         }
-        volume.lines += 1;
+        window.lines += 1;
         true
     }
 
-    /// The lines left out since the last call, by the place in the code that would have written them.
+    /// Returns the number of lines suppressed since the last call, by call site as `file:line`.
     pub fn take_suppressed(&self) -> Vec<(Name, u64)> {
-        let mut kinds = self.kinds.lock().unwrap_or_else(PoisonError::into_inner);
-        let left_out = kinds.iter_mut().filter(|(_, volume)| volume.left_out > 0);
-        left_out
-            .map(|((file, line), volume)| (format!("{file}:{line}").into(), std::mem::take(&mut volume.left_out)))
+        let mut windows = self.windows.lock().unwrap_or_else(PoisonError::into_inner);
+        let suppressed = windows.iter_mut().filter(|(_, window)| window.suppressed > 0);
+        suppressed
+            .map(|((file, line), window)| (format!("{file}:{line}").into(), std::mem::take(&mut window.suppressed)))
             .collect()
     }
 }
--- a/crates/hollyhook_telemetry/src/log/log_output.rs
+++ b/crates/hollyhook_telemetry/src/log/log_output.rs
@@ -7,44 +7,46 @@
 
 use super::LogLimiter;
 
-/// Lines that wait to be written; more are dropped and counted.
-const MOST_WAITING: usize = 1_024;
+/// Maximum number of log lines queued for the writer thread; further lines are dropped and counted.
+const MAX_QUEUED_LINES: usize = 1_024;
 
-/// Where log lines go.
+/// The output that log lines are written to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogTarget {
-    /// The standard output.
+    /// Standard output.
     Stdout,
-    /// The standard error, where the standard output tells something else.
+    /// Standard error, for processes that print other data to standard output.
     Stderr,
 }
 
-/// Keeps the writer of log lines alive, and knows what was not written.
+/// Keeps the log writer thread alive and counts the lines that were not written; dropping it stops the thread.
 #[derive(Debug)]
 pub struct LogGuard {
-    /// Lines that were left out by kind.
+    /// The rate limit per call site, with the number of suppressed lines.
     pub limiter: LogLimiter,
     dropped: ErrorCounter,
     _worker: WorkerGuard,
 }
 
 impl LogGuard {
-    /// Lines dropped since the start because the output took them too slowly.
+    /// Returns the number of lines dropped since the start because the output was too slow and the queue was full.
     pub fn dropped_lines(&self) -> usize {
         self.dropped.dropped_lines()
     }
 }
 
-/// Sends the process's log lines to an output, from a thread of their own, so that no request waits for it.
+/// Installs the log output of the process.
+///
+/// A separate thread writes the lines, so that no request waits for the output.
 ///
 /// # Errors
 ///
-/// `InvalidSetting` if the level is not a filter, `Conflict` if the process logs already.
+/// `InvalidSetting` if `level` is not a valid `tracing` filter, `Conflict` if the process has a log output already.
 pub fn init_log(target: LogTarget, format: LogFormat, level: &str) -> Result<LogGuard> {
     let filter = EnvFilter::try_new(level).map_err(|error| {
         Error::new(ErrorKind::InvalidSetting, format!("`{level}` is not a log level: {error}")).param("level")
     })?;
-    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MOST_WAITING);
+    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_QUEUED_LINES);
     let (writer, worker) = match target {
         LogTarget::Stdout => builder.finish(std::io::stdout()),
         LogTarget::Stderr => builder.finish(std::io::stderr()),
--- a/crates/hollyhook_telemetry/src/log/mod.rs
+++ b/crates/hollyhook_telemetry/src/log/mod.rs
@@ -1,4 +1,4 @@
-//! Log lines by `tracing`, as text or JSON, bounded in volume and never blocking.
+//! Log output through `tracing`, as text or JSON: limited in rate, and written without blocking the caller.
 
 mod log_limiter;
 mod log_output;
--- a/crates/hollyhook_telemetry/src/metric/metric_recorder.rs
+++ b/crates/hollyhook_telemetry/src/metric/metric_recorder.rs
@@ -9,25 +9,26 @@
 use hollyhook_core::{Error, ErrorKind, Name, Result};
 use hollyhook_wire::{CounterRow, HistogramRow};
 
-/// What the histograms measure.
+/// The duration that a histogram measures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MetricMeasure {
-    /// From the request to the first token.
+    /// From the arrival of a request to its first token.
     FirstToken,
-    /// Between two tokens of a stream without a loss.
+    /// Between two successive tokens of a stream, if no attempt was lost between them.
     BetweenTokens,
-    /// The longest time between two events of a stream.
+    /// The longest time between two successive events of one stream.
     LongestGap,
-    /// From the last token before a loss to the next.
+    /// From the last token before an attempt was lost to the first token after the stream resumed. If a caller resumes a
+    /// stream at a gateway with a cursor, from the arrival of that request.
     ResumeLatency,
-    /// From the request to an endpoint's acceptance.
+    /// From the arrival of a request to its acceptance by an endpoint.
     QueueWait,
-    /// From a plain call to its answer.
+    /// From the arrival of a plain call to its answer.
     PlainCall,
 }
 
 impl MetricMeasure {
-    /// The measure's name.
+    /// Returns the measure's name in metrics and reports.
     pub const fn label(self) -> &'static str {
         match self {
             Self::FirstToken => "first_token",
@@ -40,14 +41,14 @@
     }
 }
 
-/// Whose histogram it is.
+/// The kind of name that a histogram is kept for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MetricScope {
-    /// A client account's.
+    /// A client account.
     Account,
-    /// A class's.
+    /// A class of requests: the request class of a service, or in a gateway the route.
     Class,
-    /// A cause's, such as that of a loss.
+    /// A cause, such as the reason why an attempt was lost.
     Cause,
 }
 
@@ -60,8 +61,9 @@
         }
     }
 
-    /// Names that have a histogram of their own: 1,200 accounts at the two-year size, and a few dozen classes in use.
-    const fn most_names(self) -> usize {
+    /// Maximum number of names with a histogram of their own, for each measure. It leaves room for the 1,200 accounts
+    /// expected within two years, and for the few dozen classes in use.
+    const fn max_names(self) -> usize {
         match self {
             Self::Account => 1_500,
             Self::Class => 64,
@@ -69,8 +71,9 @@
         }
     }
 
-    /// Accounts are many, so theirs are coarse: one digit takes about 2 KB, three take about 40 KB.
-    const fn digits(self) -> u8 {
+    /// Significant decimal digits that a histogram keeps. A histogram with one digit takes about 2 KB, one with three
+    /// digits about 40 KB; accounts are many, so their histograms keep only one.
+    const fn significant_digits(self) -> u8 {
         match self {
             Self::Account => 1,
             Self::Class | Self::Cause => 3,
@@ -78,10 +81,10 @@
     }
 }
 
-/// The name under which the rest is counted.
-const OTHERS: &str = "others";
+/// Name of the histogram that all further names of a scope share once the scope has its maximum number of names.
+const OVERFLOW_NAME: &str = "others";
 
-/// The longest time that a histogram tells apart, in microseconds.
+/// The longest duration that a histogram records, in microseconds; longer ones are recorded as this value.
 const MAX_MICROS: u64 = 600_000_000;
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -91,7 +94,7 @@
     pub(super) name: Name,
 }
 
-/// All counters and histograms of a process.
+/// Records the counters and latency histograms of a process.
 #[derive(Debug, Default)]
 pub struct MetricRecorder {
     counters: Mutex<BTreeMap<&'static str, u64>>,
@@ -103,31 +106,31 @@
     /// The name that the service is registered under.
     pub const NAME: &'static str = "metrics";
 
-    /// A board that also sends to a statsd address.
+    /// Creates a recorder that also sends its metrics to a statsd address, tagged with the name of the host.
     ///
     /// # Errors
     ///
-    /// `InvalidSetting` if no datagram can be sent there.
+    /// `InvalidSetting` if no UDP socket can be opened for the address.
     pub fn with_statsd(address: SocketAddr, host: &str) -> Result<Self> {
-        let wrong = |error: &dyn std::fmt::Display| {
+        let invalid = |error: &dyn std::fmt::Display| {
             Error::new(ErrorKind::InvalidSetting, format!("can't send to statsd at {address}: {error}")).param("statsd")
         };
         let local: SocketAddr = if address.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0_u16; 8], 0).into() };
-        let socket = UdpSocket::bind(local).map_err(|error| wrong(&error))?;
-        socket.set_nonblocking(true).map_err(|error| wrong(&error))?;
-        let sink = BufferedUdpMetricSink::from(address, socket).map_err(|error| wrong(&error))?;
-        // Sending happens on the sink's own thread, so that no request waits for it.
+        let socket = UdpSocket::bind(local).map_err(|error| invalid(&error))?;
+        socket.set_nonblocking(true).map_err(|error| invalid(&error))?;
+        let sink = BufferedUdpMetricSink::from(address, socket).map_err(|error| invalid(&error))?;
+        // The sink sends from its own thread, so that no request waits for the network.
         let sink = QueuingMetricSink::builder().with_capacity(16_384).build(sink);
         let client = StatsdClient::builder("hollyhook", sink).with_tag("host", host).build();
         Ok(Self { statsd: Some(client), ..Self::default() })
     }
 
-    /// Adds one to a counter.
+    /// Increments a counter by one.
     pub fn count(&self, counter: &'static str) {
         self.count_by(counter, 1);
     }
 
-    /// Adds to a counter.
+    /// Increments a counter by `number`.
     pub fn count_by(&self, counter: &'static str, number: u64) {
         *lock(&self.counters).entry(counter).or_default() += number;
         if let Some(statsd) = &self.statsd {
@@ -135,36 +138,36 @@
         }
     }
 
-    /// Sends what is buffered for statsd, which otherwise waits for a full datagram.
+    /// Sends the metrics buffered for statsd, which are otherwise held back until they fill a datagram.
     pub fn flush(&self) {
         if let Some(statsd) = &self.statsd {
             let _dropped = statsd.flush();
         }
     }
 
-    /// The value of a counter.
+    /// Returns the value of a counter, 0 if it was never incremented.
     pub fn counter(&self, counter: &str) -> u64 {
         lock(&self.counters).get(counter).copied().unwrap_or_default()
     }
 
-    /// Records times of one client account and class.
-    pub fn record(&self, measure: MetricMeasure, account: &Name, class: &str, spans: &[Duration]) {
+    /// Records durations in the histograms of a client account and of a class.
+    pub fn record(&self, measure: MetricMeasure, account: &Name, class: &str, durations: &[Duration]) {
         let mut histograms = lock(&self.histograms);
-        add(&mut histograms, measure, MetricScope::Account, Name::clone(account), spans);
-        add(&mut histograms, measure, MetricScope::Class, class.into(), spans);
+        add(&mut histograms, measure, MetricScope::Account, Name::clone(account), durations);
+        add(&mut histograms, measure, MetricScope::Class, class.into(), durations);
         drop(histograms);
         if let Some(statsd) = &self.statsd {
-            for span in spans {
-                let _dropped = statsd.time_with_tags(measure.label(), *span).with_tag("class", class).try_send();
+            for duration in durations {
+                let _dropped = statsd.time_with_tags(measure.label(), *duration).with_tag("class", class).try_send();
             }
         }
     }
 
-    /// Records a time that has a cause.
-    pub fn record_cause(&self, measure: MetricMeasure, cause: &'static str, span: Duration) {
-        add(&mut lock(&self.histograms), measure, MetricScope::Cause, cause.into(), &[span]);
+    /// Records a duration in the histogram of its cause.
+    pub fn record_cause(&self, measure: MetricMeasure, cause: &'static str, duration: Duration) {
+        add(&mut lock(&self.histograms), measure, MetricScope::Cause, cause.into(), &[duration]);
         if let Some(statsd) = &self.statsd {
-            let _dropped = statsd.time_with_tags(measure.label(), span).with_tag("cause", cause).try_send();
+            let _dropped = statsd.time_with_tags(measure.label(), duration).with_tag("cause", cause).try_send();
         }
     }
 
@@ -172,13 +175,13 @@
         lock(&self.histograms).iter().for_each(|(key, histogram)| visit(key, histogram));
     }
 
-    /// All counters.
+    /// Returns the values of all counters.
     pub fn counter_rows(&self) -> Vec<CounterRow> {
         let counters = lock(&self.counters);
         counters.iter().map(|(name, value)| CounterRow { counter: (*name).into(), value: *value }).collect()
     }
 
-    /// All histograms.
+    /// Returns the count and the quantiles of each histogram.
     pub fn histogram_rows(&self) -> Vec<HistogramRow> {
         let histograms = lock(&self.histograms);
         histograms
@@ -202,27 +205,29 @@
     measure: MetricMeasure,
     scope: MetricScope,
     name: Name,
-    spans: &[Duration],
+    durations: &[Duration],
 ) {
-    let key = bounded(histograms, HistogramKey { measure, scope, name });
-    let digits = key.scope.digits();
+    let key = bounded_key(histograms, HistogramKey { measure, scope, name });
+    let digits = key.scope.significant_digits();
     let histogram = histograms.entry(key).or_insert_with(|| new_histogram(digits));
-    for span in spans {
-        histogram.saturating_record((span.as_micros() as u64).max(1));
+    for duration in durations {
+        histogram.saturating_record((duration.as_micros() as u64).max(1));
     }
 }
 
-/// The key itself, or that of all others once there are too many of its scope: names come from outside.
-fn bounded(histograms: &BTreeMap<HistogramKey, Histogram<u32>>, key: HistogramKey) -> HistogramKey {
-    let of_scope = |other: &&HistogramKey| other.measure == key.measure && other.scope == key.scope;
-    if histograms.contains_key(&key) || histograms.keys().filter(of_scope).count() < key.scope.most_names() {
+/// Returns the key, or that of the shared overflow histogram if the key is new and its scope is full.
+///
+/// The limit bounds memory, because names come from outside the process.
+fn bounded_key(histograms: &BTreeMap<HistogramKey, Histogram<u32>>, key: HistogramKey) -> HistogramKey {
+    let is_in_scope = |other: &&HistogramKey| other.measure == key.measure && other.scope == key.scope;
+    if histograms.contains_key(&key) || histograms.keys().filter(is_in_scope).count() < key.scope.max_names() {
         return key;
     }
-    HistogramKey { name: OTHERS.into(), ..key }
+    HistogramKey { name: OVERFLOW_NAME.into(), ..key }
 }
 
 fn new_histogram(digits: u8) -> Histogram<u32> {
-    Histogram::new_with_bounds(1, MAX_MICROS, digits).expect("the bounds are constant and valid")
+    Histogram::new_with_bounds(1, MAX_MICROS, digits).expect("the histogram's bounds and digits are constant and valid")
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/hollyhook_telemetry/src/metric/metric_text.rs
+++ b/crates/hollyhook_telemetry/src/metric/metric_text.rs
@@ -13,19 +13,20 @@
 use super::metric_recorder::HistogramKey;
 use super::{MetricMeasure, MetricRecorder, ProcessUsage};
 
-/// Upper bounds of the buckets that scrapers see, in seconds: from a plain call to a generation of minutes.
-const BOUNDS: [f64; 13] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.7, 1.0, 2.5, 4.5, 25.0];
-const MICROS: f64 = 1e6;
+/// Upper bounds of the histogram buckets in the metrics text, in seconds. They cover the range from plain calls to
+/// generations that take minutes.
+const BUCKET_BOUNDS: [f64; 13] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.7, 1.0, 2.5, 4.5, 25.0];
+const MICROS_PER_SECOND: f64 = 1e6;
 
 impl MetricRecorder {
-    /// All counters and histograms as scrapers read them.
+    /// Encodes all counters and histograms, and the process's memory and processor time, in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// If a metric can't be written as text.
+    /// If a metric can't be encoded as text.
     pub fn to_text(&self) -> Result<String, fmt::Error> {
         let mut registry = Registry::with_prefix("hollyhook");
-        let snapshot = BoardSnapshot::from(self);
+        let snapshot = MetricSnapshot::from(self);
         registry.register_collector(Box::new(snapshot));
         let mut text = String::new();
         encode(&mut text, &registry)?;
@@ -33,9 +34,9 @@
     }
 }
 
-/// The board as it was at one moment.
+/// Copy of all metrics, taken for one scrape.
 #[derive(Debug)]
-struct BoardSnapshot {
+struct MetricSnapshot {
     counters: Vec<(String, u64)>,
     histograms: BTreeMap<MetricMeasure, Vec<HistogramSnapshot>>,
     usage: ProcessUsage,
@@ -47,41 +48,41 @@
     name: String,
     sum: f64,
     count: u64,
-    /// Upper bound in seconds and the number of values in the bucket.
+    /// Upper bound of each bucket in seconds, and the number of values in this bucket alone.
     buckets: Vec<(f64, u64)>,
 }
 
-impl From<&MetricRecorder> for BoardSnapshot {
+impl From<&MetricRecorder> for MetricSnapshot {
     fn from(recorder: &MetricRecorder) -> Self {
         let counters =
             recorder.counter_rows().into_iter().map(|row| (row.counter.replace('.', "_"), row.value)).collect();
         let mut histograms: BTreeMap<MetricMeasure, Vec<HistogramSnapshot>> = BTreeMap::new();
         recorder.visit_histograms(|key, histogram| {
-            histograms.entry(key.measure).or_default().push(snapshot(key, histogram));
+            histograms.entry(key.measure).or_default().push(snapshot_histogram(key, histogram));
         });
         Self { counters, histograms, usage: ProcessUsage::read() }
     }
 }
 
-fn snapshot(key: &HistogramKey, histogram: &Histogram<u32>) -> HistogramSnapshot {
-    let mut buckets = Vec::with_capacity(BOUNDS.len() + 1);
-    let mut below = 0;
-    for bound in BOUNDS {
-        let up_to = histogram.count_between(0, (bound * MICROS) as u64);
-        buckets.push((bound, up_to - below));
-        below = up_to;
+fn snapshot_histogram(key: &HistogramKey, histogram: &Histogram<u32>) -> HistogramSnapshot {
+    let mut buckets = Vec::with_capacity(BUCKET_BOUNDS.len() + 1);
+    let mut counted = 0;
+    for bound in BUCKET_BOUNDS {
+        let cumulative = histogram.count_between(0, (bound * MICROS_PER_SECOND) as u64);
+        buckets.push((bound, cumulative - counted));
+        counted = cumulative;
     }
-    buckets.push((f64::MAX, histogram.len() - below));
+    buckets.push((f64::MAX, histogram.len() - counted));
     HistogramSnapshot {
         scope: key.scope.label(),
         name: key.name.to_string(),
-        sum: histogram.mean() * histogram.len() as f64 / MICROS,
+        sum: histogram.mean() * histogram.len() as f64 / MICROS_PER_SECOND,
         count: histogram.len(),
         buckets,
     }
 }
 
-impl Collector for BoardSnapshot {
+impl Collector for MetricSnapshot {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> fmt::Result {
         for (name, value) in &self.counters {
             let counter = ConstCounter::new(*value);
--- a/crates/hollyhook_telemetry/src/metric/mod.rs
+++ b/crates/hollyhook_telemetry/src/metric/mod.rs
@@ -1,4 +1,4 @@
-//! Counters, and histograms by client account and by class; sent to statsd too, where one is set.
+//! Counters, and latency histograms by client account, class and cause; also sent to statsd if it is configured.
 
 mod metric_recorder;
 mod metric_text;
--- a/crates/hollyhook_telemetry/tests/metrics.rs
+++ b/crates/hollyhook_telemetry/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics as statsd receives them.
+//! Metrics sent to statsd, and the histograms by account and class.
 
 use std::net::UdpSocket;
 use std::time::Duration;
@@ -11,7 +11,7 @@
     let recorder = MetricRecorder::with_statsd(socket.local_addr().unwrap(), "host-1").unwrap();
     recorder.count("request");
     recorder.record(MetricMeasure::FirstToken, &"office".into(), "long", &[Duration::from_millis(7)]);
-    // The sink's own thread may not have written a metric yet when a flush comes; the daemon flushes every second.
+    // A flush may come before the sink's thread has written a metric, so it is repeated; the daemon flushes every second.
     socket.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
     let mut received = String::new();
     for _ in 0..500 {
@@ -34,19 +34,19 @@
 #[test]
 fn histograms_by_account_and_class() {
     let recorder = MetricRecorder::default();
-    let spans: Vec<Duration> = (1..=100).map(Duration::from_millis).collect();
-    recorder.record(MetricMeasure::BetweenTokens, &"office".into(), "long", &spans);
-    recorder.record(MetricMeasure::BetweenTokens, &"clerk".into(), "long", &spans[..10]);
+    let durations: Vec<Duration> = (1..=100).map(Duration::from_millis).collect();
+    recorder.record(MetricMeasure::BetweenTokens, &"office".into(), "long", &durations);
+    recorder.record(MetricMeasure::BetweenTokens, &"clerk".into(), "long", &durations[..10]);
     let rows = recorder.histogram_rows();
     let row = |name: &str| rows.iter().find(|row| &*row.name == name).unwrap();
     assert_eq!((row("office").count, row("clerk").count, row("long").count), (100, 10, 110));
-    // Three digits for a class, one for an account.
+    // Histograms keep three significant digits for a class, and one for an account.
     assert!(row("long").p99_us.abs_diff(99_000) < 100);
     assert!(row("office").p50_us.abs_diff(50_000) < 5_000);
 }
 
 #[test]
-fn classes_bounded() {
+fn classes_limited() {
     let recorder = MetricRecorder::default();
     for number in 0..1_000 {
         let class = format!("class-{number}");
