--- a/crates/hollyhook_settings/src/file/mod.rs
+++ b/crates/hollyhook_settings/src/file/mod.rs
@@ -1,4 +1,4 @@
-//! Reading a file into sections and entries that know where they stand.
+//! Reading a settings file into sections and entries that keep their positions in the file.
 
 mod section_reader;
 mod setting_error;
--- a/crates/hollyhook_settings/src/file/section_reader.rs
+++ b/crates/hollyhook_settings/src/file/section_reader.rs
@@ -1,12 +1,12 @@
 use hollyhook_core::Name;
 
 use super::{SettingEntry, SettingError, SettingSection};
-use crate::value::ValueFault;
+use crate::value::ValueError;
 
-/// How alike two keys must be for one to be suggested for the other (Jaro-Winkler).
-const LIKENESS: f64 = 0.75;
+/// Least Jaro-Winkler similarity at which a known key is suggested for an unknown one.
+const MIN_SIMILARITY: f64 = 0.75;
 
-/// Takes the keys of one section and remembers which it knows.
+/// Reads the keys of one section, collects the errors, and records which keys the section may have.
 pub(crate) struct SectionReader<'a> {
     section: &'a SettingSection,
     known: Vec<&'static str>,
@@ -18,69 +18,70 @@
         Self { section, known: Vec::new(), errors }
     }
 
-    /// The value of a key, if it is there and right.
+    /// Returns the value of a key, or `None` if the key is missing or its value is invalid; reports an invalid value.
     pub(crate) fn optional<T>(
         &mut self,
         key: &'static str,
-        parse: impl Fn(&str) -> Result<T, ValueFault>,
+        parse: impl Fn(&str) -> Result<T, ValueError>,
     ) -> Option<T> {
         self.known.push(key);
         let entry = self.entry(key)?;
         match parse(&entry.value) {
             Ok(value) => Some(value),
-            Err(fault) => {
-                self.errors.push(self.section.error(Some(entry), &fault.wrong, &fault.right));
+            Err(error) => {
+                self.errors.push(self.section.error(Some(entry), &error.problem, &error.hint));
                 None
             }
         }
     }
 
-    /// The value of a key, or the default.
-    pub(crate) fn default<T>(
+    /// Returns the value of a key, or the default if the key is missing or its value is invalid; reports an invalid
+    /// value.
+    pub(crate) fn with_default<T>(
         &mut self,
         key: &'static str,
         default: T,
-        parse: impl Fn(&str) -> Result<T, ValueFault>,
+        parse: impl Fn(&str) -> Result<T, ValueError>,
     ) -> T {
         self.optional(key, parse).unwrap_or(default)
     }
 
-    /// The value of a key that has to be there.
+    /// Returns the value of a key; reports a missing key or an invalid value, and then returns `None`.
     pub(crate) fn required<T>(
         &mut self,
         key: &'static str,
-        parse: impl Fn(&str) -> Result<T, ValueFault>,
+        parse: impl Fn(&str) -> Result<T, ValueError>,
     ) -> Option<T> {
         if self.entry(key).is_none() {
-            let right = format!("add `{key} = …`");
-            self.errors.push(self.section.error(None, &format!("`{key}` is missing"), &right));
+            let hint = format!("add `{key} = …`");
+            self.errors.push(self.section.error(None, &format!("`{key}` is missing"), &hint));
         }
         self.optional(key, parse)
     }
 
-    /// Notes something wrong with a key that was read, or with the section.
-    pub(crate) fn fault(&mut self, key: &str, wrong: &str, right: &str) {
+    /// Reports a problem with a key, or with the section if it does not have the key.
+    pub(crate) fn report(&mut self, key: &str, problem: &str, hint: &str) {
         let entry = self.section.entries.iter().find(|entry| &*entry.key == key);
-        self.errors.push(self.section.error(entry, wrong, right));
+        self.errors.push(self.section.error(entry, problem, hint));
     }
 
-    /// The name behind the kind in the title, which has to be there.
+    /// Returns the name that follows the kind in the section's title; reports a missing name.
     pub(crate) fn name(&mut self) -> Name {
         if self.section.name().is_empty() {
-            let right = format!("write `[{} NAME]`", self.section.kind());
-            self.errors.push(self.section.error(None, "the section has no name", &right));
+            let hint = format!("write `[{} NAME]`", self.section.kind());
+            self.errors.push(self.section.error(None, "the section has no name", &hint));
         }
         self.section.name().into()
     }
 
-    /// Refuses the keys that nobody asked for.
+    /// Reports as unknown every key of the section that was not read before this call.
     pub(crate) fn finish(self) {
         for entry in &self.section.entries {
             if self.known.contains(&&*entry.key) {
                 continue;
             }
-            let right = suggest(&entry.key, &self.known);
-            self.errors.push(self.section.error(Some(entry), "there is no such key here", &right));
+            let hint = suggest(&entry.key, &self.known);
+            self.errors.push(self.section.error(Some(entry), "there is no such key here", &hint));
         }
     }
 
@@ -90,10 +91,10 @@
 }
 
 fn suggest(key: &str, known: &[&'static str]) -> String {
-    let likeness = |other: &str| strsim::jaro_winkler(key, other);
-    let nearest = known.iter().max_by(|a, b| likeness(a).total_cmp(&likeness(b)));
+    let similarity = |other: &str| strsim::jaro_winkler(key, other);
+    let nearest = known.iter().max_by(|a, b| similarity(a).total_cmp(&similarity(b)));
     match nearest {
-        Some(nearest) if likeness(nearest) >= LIKENESS => format!("did you mean `{nearest}`?"),
+        Some(nearest) if similarity(nearest) >= MIN_SIMILARITY => format!("did you mean `{nearest}`?"),
         _ => format!("the keys are {}", known.join(", ")),
     }
 }
--- a/crates/hollyhook_settings/src/file/setting_error.rs
+++ b/crates/hollyhook_settings/src/file/setting_error.rs
@@ -2,20 +2,20 @@
 
 use hollyhook_core::Name;
 
-/// One thing that is wrong with the settings.
+/// An error in a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingError {
-    /// The file, as it was named.
+    /// The file, by the path under which it was loaded.
     pub file: Name,
-    /// The line, from 1; 0 if the file has none for it.
+    /// The line, counted from 1; 0 if the error belongs to no line of the file.
     pub line: usize,
-    /// The section's title; empty before the first.
+    /// The section's title; empty if the error belongs to no section.
     pub section: Name,
-    /// The key, if it is about one.
+    /// The key, if the error is about a single key.
     pub key: Option<Name>,
     /// What is wrong.
     pub problem: Name,
-    /// What would be right.
+    /// How to correct it.
     pub hint: Name,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// All that is wrong with the settings, in the order of the files.
+/// All errors found in the settings, those of a base file before those of its overlay.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingErrors(pub Vec<SettingError>);
 
--- a/crates/hollyhook_settings/src/gateway/gateway_bounds.rs
+++ b/crates/hollyhook_settings/src/gateway/gateway_bounds.rs
@@ -6,38 +6,41 @@
 const MILLISECOND: Duration = Duration::from_millis(1);
 const HOUR: Duration = Duration::from_hours(1);
 
-/// What the operator of the platform holds the daemon to.
+/// Bounds on a gateway's behaviour, set by the operator of the platform.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatewayBounds {
-    /// How long after a key was taken away requests with it may still run.
+    /// Longest time after the revocation of a key for which requests with this key may still run.
     pub revoke: Duration,
-    /// How long after an endpoint said that it leaves it may still get new work.
+    /// Longest time after an endpoint announced that it is leaving for which it may still get new requests.
     pub drain: Duration,
-    /// How long after a version of the configuration was accepted requests may still be handled by the one before.
+    /// Longest time after a configuration version was accepted for which requests may still be handled by the previous
+    /// version.
     pub config: Duration,
-    /// How long after its way to the store is whole again a host has to act on all that the store acknowledged before.
+    /// Longest time from when a host can reach the store again until it acts on all changes that the store had
+    /// acknowledged before.
     pub contact: Duration,
-    /// How long after SIGTERM the process may live.
+    /// Longest time for which the process may run on after SIGTERM.
     pub grace: Duration,
-    /// What all hosts together may send again.
+    /// Limit on the retries of all hosts together.
     pub retry: RetryBounds,
-    /// The share of a service's requests that a version may get before it is judged; none where no roll-outs are ordered.
+    /// Largest fraction of a service's requests that a version may get before it has its verdict; `None` if the
+    /// platform orders no roll-outs.
     pub exposure: Option<f64>,
 }
 
-/// What all hosts together may send beyond the first send of each request to one service.
+/// Limit on the retries to one service by all hosts together: all sends of a request beyond its first.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBounds {
-    /// Such sends for each request.
+    /// Retries allowed per request in the window.
     pub ratio: f64,
-    /// The window in which they are counted.
+    /// The time window in which requests and retries are counted.
     pub window: Duration,
-    /// Such sends that are allowed besides.
+    /// Retries allowed in the window in addition to the ratio.
     pub extra: u64,
 }
 
 impl Default for GatewayBounds {
-    /// Cautious figures, for a platform that states none.
+    /// Returns cautious bounds, for a platform that sets none.
     fn default() -> Self {
         Self {
             revoke: Duration::from_secs(5),
@@ -55,15 +58,15 @@
     pub(super) fn read(reader: &mut SectionReader<'_>) -> Self {
         let default = Self::default();
         Self {
-            revoke: reader.default("revoke", default.revoke, value::span(MILLISECOND, HOUR)),
-            drain: reader.default("drain", default.drain, value::span(MILLISECOND, HOUR)),
-            config: reader.default("config", default.config, value::span(MILLISECOND, HOUR)),
-            contact: reader.default("contact", default.contact, value::span(MILLISECOND, HOUR)),
-            grace: reader.default("grace", default.grace, value::span(MILLISECOND, HOUR)),
+            revoke: reader.with_default("revoke", default.revoke, value::duration(MILLISECOND, HOUR)),
+            drain: reader.with_default("drain", default.drain, value::duration(MILLISECOND, HOUR)),
+            config: reader.with_default("config", default.config, value::duration(MILLISECOND, HOUR)),
+            contact: reader.with_default("contact", default.contact, value::duration(MILLISECOND, HOUR)),
+            grace: reader.with_default("grace", default.grace, value::duration(MILLISECOND, HOUR)),
             retry: RetryBounds {
-                ratio: reader.default("retry_ratio", default.retry.ratio, value::ratio),
-                window: reader.default("retry_window", default.retry.window, value::span(MILLISECOND, HOUR)),
-                extra: reader.default("retry_extra", default.retry.extra, value::count(0, 1_000_000)),
+                ratio: reader.with_default("retry_ratio", default.retry.ratio, value::ratio),
+                window: reader.with_default("retry_window", default.retry.window, value::duration(MILLISECOND, HOUR)),
+                extra: reader.with_default("retry_extra", default.retry.extra, value::count(0, 1_000_000)),
             },
             exposure: reader.optional("exposure", value::fraction),
         }
--- a/crates/hollyhook_settings/src/gateway/gateway_settings.rs
+++ b/crates/hollyhook_settings/src/gateway/gateway_settings.rs
@@ -8,32 +8,32 @@
 use crate::process::LogFormat;
 use crate::value;
 
-/// What a daemon is told whose configuration and endpoints lie in the platform's store.
+/// Settings of a gateway: a daemon whose configuration and endpoints are in the platform's store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatewaySettings {
     /// The host's name.
     pub host: Name,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where it serves callers.
+    /// The address on which it serves callers.
     pub listen: SocketAddr,
-    /// Where it answers whether it is ready.
+    /// The address on which it answers readiness checks.
     pub ready_listen: SocketAddr,
-    /// Where it serves metrics.
+    /// The address on which it serves metrics; `None` if it serves none.
     pub metrics_listen: Option<SocketAddr>,
-    /// Where it tells other hosts what it reads of the store; none if it shares nothing.
+    /// The address on which it passes the store's contents on to other hosts; `None` if it shares nothing.
     pub peer_listen: Option<SocketAddr>,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// The most bytes of memory that the process may take.
+    /// Most bytes of memory that the process may use.
     pub memory_bytes: usize,
-    /// What its network link carries, in Mbit/s; zero if that is not said. Hosts with larger links carry more for others.
+    /// Speed of the host's network link in Mbit/s; 0 if not set. Hosts with faster links send more data to other hosts.
     pub link_mbps: u32,
-    /// What it is held to.
+    /// Bounds on its behaviour, set by the operator of the platform.
     pub bounds: GatewayBounds,
     /// How log lines are written.
     pub log_format: LogFormat,
-    /// Which log lines are written, as `tracing` filters say it.
+    /// Which log lines are written, as a `tracing` filter.
     pub log_level: Name,
 }
 
@@ -41,7 +41,7 @@
 const DEFAULT_MEMORY_MIB: usize = 256;
 
 impl GatewaySettings {
-    /// Whether a file is for a gateway rather than for a daemon with a site of its own.
+    /// Returns whether a file configures a gateway, rather than a daemon whose site is in local files.
     pub fn is_gateway_file(file: &SettingFile) -> bool {
         file.has_section("gateway")
     }
@@ -50,16 +50,16 @@
     ///
     /// # Errors
     ///
-    /// Everything that is wrong, at once.
+    /// All errors in the file together.
     pub fn load(path: &Path) -> Result<Self, SettingErrors> {
         Self::parse(&SettingFile::load(path)?)
     }
 
-    /// Checks a file that was read.
+    /// Checks a file that was already read.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong, at once.
+    /// All errors in the file together.
     pub fn parse(file: &SettingFile) -> Result<Self, SettingErrors> {
         let mut errors = file.unknown_titles(&TITLES);
         let settings = read(file, &mut errors);
@@ -75,9 +75,9 @@
     let mut reader = SectionReader::new(&section, errors);
     let host = reader.required("name", value::name);
     let zone = reader.required("zone", value::name);
-    let most = value::bytes(16 << 20, 1 << 40);
-    let memory_bytes = reader.default("memory", DEFAULT_MEMORY_MIB << 20, most);
-    let link_mbps = reader.default("link", 0, value::link_mbps);
+    let memory_range = value::bytes(16 << 20, 1 << 40);
+    let memory_bytes = reader.with_default("memory", DEFAULT_MEMORY_MIB << 20, memory_range);
+    let link_mbps = reader.with_default("link", 0, value::link_mbps);
     reader.finish();
 
     let section = file.section("gateway");
@@ -100,8 +100,8 @@
 
     let section = file.section("log");
     let mut reader = SectionReader::new(&section, errors);
-    let log_format = reader.default("format", LogFormat::Json, value::choice(LogFormat::CHOICES));
-    let log_level = reader.default("level", "info", value::choice(LogFormat::LEVELS));
+    let log_format = reader.with_default("format", LogFormat::Json, value::choice(LogFormat::CHOICES));
+    let log_level = reader.with_default("level", "info", value::choice(LogFormat::LEVELS));
     reader.finish();
 
     Some(GatewaySettings {
--- a/crates/hollyhook_settings/src/gateway/mod.rs
+++ b/crates/hollyhook_settings/src/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! The settings of a daemon that takes its configuration and its endpoints from the platform.
+//! Settings of a gateway: a daemon that reads its configuration and its endpoints from the platform's store.
 
 mod gateway_bounds;
 mod gateway_settings;
--- a/crates/hollyhook_settings/src/lib.rs
+++ b/crates/hollyhook_settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings in INI: a file for each process, a base for all sites and an overlay for each site.
+//! Settings in INI files: one file for each process, a base file for all sites and an overlay file for each site.
 //!
-//! Everything is checked as a whole, and every error is reported with file, line, section and key, what was wrong
-//! and what would be right.
+//! A file, or a base with its overlay, is checked as a whole. Each error is reported with its file, line, section and
+//! key, the problem, and a hint how to correct it.
 
 mod file;
 mod gateway;
--- a/crates/hollyhook_settings/src/process/mod.rs
+++ b/crates/hollyhook_settings/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! The settings of one process.
+//! Settings of one daemon process.
 
 mod process_settings;
 
--- a/crates/hollyhook_settings/src/process/process_settings.rs
+++ b/crates/hollyhook_settings/src/process/process_settings.rs
@@ -9,9 +9,9 @@
 /// How log lines are written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text for people.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -21,47 +21,47 @@
         &[("error", "error"), ("warn", "warn"), ("info", "info"), ("debug", "debug")];
 }
 
-/// What a daemon is told about itself: its addresses, its availability zone and where things are.
+/// Settings of one daemon: its addresses, its availability zone, and the paths of the site's settings.
 #[derive(Debug, Clone)]
 pub struct ProcessSettings {
     /// The host's name.
     pub host: Name,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where it serves callers.
+    /// The address on which it serves callers.
     pub listen: SocketAddr,
-    /// Where it serves other daemons and the operator's command.
+    /// The address on which it serves other daemons and the operator's command.
     pub peer_listen: SocketAddr,
-    /// Threads that run its work.
+    /// Number of worker threads.
     pub threads: usize,
-    /// Where other daemons serve it.
+    /// The addresses on which other daemons serve this one.
     pub peers: Vec<SocketAddr>,
-    /// The platform.
+    /// The address of the platform; `None` if it uses none.
     pub platform: Option<SocketAddr>,
-    /// The base file for all sites.
+    /// The path of the base file for all sites.
     pub base: PathBuf,
-    /// The overlay of this site.
+    /// The path of the overlay file of this site.
     pub overlay: PathBuf,
     /// How log lines are written.
     pub log_format: LogFormat,
-    /// Which log lines are written, as `tracing` filters say it.
+    /// Which log lines are written, as a `tracing` filter.
     pub log_level: Name,
-    /// Whether the traces of the last generations are kept in memory.
+    /// Whether the traces of the most recent generations are kept in memory.
     pub keeps_traces: bool,
-    /// Where metrics go, as statsd datagrams.
+    /// The address that metrics are sent to as statsd datagrams.
     pub statsd: Option<SocketAddr>,
-    /// The key that seals cursors.
+    /// The key that encrypts cursors.
     pub cursor_key: CursorKey,
-    /// The key before that.
+    /// The previous key, which is accepted for the decryption of cursors only (key rotation).
     pub previous_cursor_key: Option<CursorKey>,
 }
 
 impl ProcessSettings {
-    /// Reads and checks a file; paths in it are relative to its folder.
+    /// Reads and checks a file; relative paths in it are resolved against its folder.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong, at once.
+    /// All errors in the file together.
     pub fn load(path: &Path) -> Result<Self, SettingErrors> {
         let mut settings = Self::parse(&SettingFile::load(path)?)?;
         let folder = path.parent().unwrap_or(Path::new(""));
@@ -70,11 +70,11 @@
         Ok(settings)
     }
 
-    /// Checks a file that was read.
+    /// Checks a file that was already read; leaves paths in it as they are.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong, at once.
+    /// All errors in the file together.
     pub fn parse(file: &SettingFile) -> Result<Self, SettingErrors> {
         let mut parser = ProcessParser { file, errors: Vec::new() };
         let settings = parser.parse();
@@ -85,10 +85,10 @@
     }
 }
 
-/// More threads than the work needs only wake each other; docs/design/relay.md has the figures.
+/// Default number of worker threads; more threads than the work needs only wake each other.
 const DEFAULT_THREADS: u64 = 4;
 
-const KINDS: [&str; 6] = ["host", "platform", "configuration", "log", "metrics", "keys"];
+const TITLES: [&str; 6] = ["host", "platform", "configuration", "log", "metrics", "keys"];
 
 struct ProcessParser<'a> {
     file: &'a SettingFile,
@@ -97,15 +97,15 @@
 
 impl ProcessParser<'_> {
     fn parse(&mut self) -> Option<ProcessSettings> {
-        self.errors.extend(self.file.unknown_titles(&KINDS));
+        self.errors.extend(self.file.unknown_titles(&TITLES));
         let host = self.file.section("host");
         let mut reader = SectionReader::new(&host, &mut self.errors);
         let name = reader.required("name", value::name);
         let zone = reader.required("zone", value::name);
         let listen = reader.required("listen", value::address);
         let peer_listen = reader.required("peer_listen", value::address);
-        let peers = reader.default("peers", Vec::new(), value::addresses);
-        let threads = reader.default("threads", DEFAULT_THREADS, value::count(1, 64));
+        let peers = reader.with_default("peers", Vec::new(), value::addresses);
+        let threads = reader.with_default("threads", DEFAULT_THREADS, value::count(1, 64));
         reader.finish();
 
         let section = self.file.section("platform");
@@ -115,16 +115,16 @@
 
         let section = self.file.section("configuration");
         let mut reader = SectionReader::new(&section, &mut self.errors);
-        let base = reader.required("base", value::file);
-        let overlay = reader.required("overlay", value::file);
+        let base = reader.required("base", value::file_path);
+        let overlay = reader.required("overlay", value::file_path);
         reader.finish();
 
         let section = self.file.section("log");
         let mut reader = SectionReader::new(&section, &mut self.errors);
-        let log_format = reader.default("format", LogFormat::Text, value::choice(LogFormat::CHOICES));
-        let log_level = reader.default("level", "info", value::choice(LogFormat::LEVELS));
+        let log_format = reader.with_default("format", LogFormat::Text, value::choice(LogFormat::CHOICES));
+        let log_level = reader.with_default("level", "info", value::choice(LogFormat::LEVELS));
         let switches = &[("on", true), ("off", false)];
-        let keeps_traces = reader.default("traces", false, value::choice(switches));
+        let keeps_traces = reader.with_default("traces", false, value::choice(switches));
         reader.finish();
 
         let section = self.file.section("metrics");
--- a/crates/hollyhook_settings/src/site/account_settings.rs
+++ b/crates/hollyhook_settings/src/site/account_settings.rs
@@ -13,11 +13,11 @@
     pub name: AccountName,
     /// Digests of its API keys, see [`key_digest`].
     pub keys: Vec<Name>,
-    /// Its share of the engines relative to other accounts.
+    /// Its weight in the division of the engines among accounts.
     pub weight: u64,
 }
 
-/// The digest of an API key as the settings hold it: SHA-256 in lower-case hexadecimal.
+/// Returns the digest under which the settings list an API key: its SHA-256 in lower-case hexadecimal.
 ///
 /// ```
 /// assert!(hollyhook_settings::key_digest("hh-example").starts_with("d49387b8"));
@@ -35,7 +35,7 @@
         let name = reader.name();
         let key = reader.required("key_sha256", value::hex_digest);
         let previous = reader.optional("previous_key_sha256", value::hex_digest);
-        let weight = reader.default("weight", 1, value::count(1, 1_000));
+        let weight = reader.with_default("weight", 1, value::count(1, 1_000));
         reader.finish();
         Some(Self { name, keys: std::iter::once(key?).chain(previous).collect(), weight })
     }
--- a/crates/hollyhook_settings/src/site/endpoint_settings.rs
+++ b/crates/hollyhook_settings/src/site/endpoint_settings.rs
@@ -10,11 +10,11 @@
 pub struct EndpointSettings {
     /// Its name.
     pub id: EndpointId,
-    /// Its service.
+    /// The name of its service.
     pub service: Name,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
 }
 
@@ -25,12 +25,12 @@
         let zone = reader.required("zone", value::name);
         let address = reader.required("address", value::address);
         if let Some(service) = service.as_ref().filter(|service| !services.contains(service)) {
-            let right = format!("the base has the services {}", services.join(", "));
-            reader.fault("service", &format!("there is no service `{service}`"), &right);
+            let hint = format!("the base has the services {}", services.join(", "));
+            reader.report("service", &format!("there is no service `{service}`"), &hint);
         }
         if let Some(zone) = zone.as_ref().filter(|zone| !zones.contains(zone)) {
-            let right = format!("the site has the zones {}", zones.join(", "));
-            reader.fault("zone", &format!("there is no availability zone `{zone}`"), &right);
+            let hint = format!("the site has the zones {}", zones.join(", "));
+            reader.report("zone", &format!("there is no availability zone `{zone}`"), &hint);
         }
         reader.finish();
         Some(Self { id, service: service?, zone: zone?, address: address? })
--- a/crates/hollyhook_settings/src/site/limit_settings.rs
+++ b/crates/hollyhook_settings/src/site/limit_settings.rs
@@ -3,28 +3,28 @@
 use crate::file::SectionReader;
 use crate::value;
 
-/// What a host bears.
+/// Limits and timeouts of a host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LimitSettings {
-    /// Bytes of a request's body.
+    /// Most bytes of a request's body.
     pub body: usize,
-    /// Open connections of callers.
+    /// Most open connections of callers.
     pub connections: usize,
-    /// Silence within a request.
+    /// Timeout for a request's head after its first byte, and for each further read of its body.
     pub read_timeout: Duration,
-    /// How long a caller may not take what is sent.
+    /// Timeout for writes to a caller that does not read its response.
     pub write_timeout: Duration,
-    /// Silence between requests.
+    /// How long a connection may stay idle between requests.
     pub idle_timeout: Duration,
-    /// How long a cursor can be used.
+    /// How long a cursor stays valid.
     pub cursor_age: Duration,
-    /// Resumes that are opened at a time.
+    /// Most resumes that may be opened at the same time.
     pub resumes: usize,
-    /// Retries as a share of first tries.
+    /// Allowed retries as a fraction of first attempts.
     pub retry_share: f64,
     /// How long an idempotency key is remembered.
     pub key_age: Duration,
-    /// How long a host that stops waits for its requests.
+    /// How long a stopping host waits for its running requests.
     pub drain_timeout: Duration,
 }
 
@@ -51,16 +51,21 @@
         const HOUR: Duration = Duration::from_hours(1);
         let default = Self::default();
         let limits = Self {
-            body: reader.default("body", default.body, value::bytes(1 << 10, 64 << 20)),
-            connections: reader.default("connections", default.connections as u64, value::count(1, 100_000)) as usize,
-            read_timeout: reader.default("read_timeout", default.read_timeout, value::span(SECOND / 10, HOUR)),
-            write_timeout: reader.default("write_timeout", default.write_timeout, value::span(SECOND, HOUR)),
-            idle_timeout: reader.default("idle_timeout", default.idle_timeout, value::span(SECOND, HOUR)),
-            cursor_age: reader.default("cursor_age", default.cursor_age, value::span(SECOND, HOUR * 24)),
-            resumes: reader.default("resumes", default.resumes as u64, value::count(1, 10_000)) as usize,
-            retry_share: reader.default("retry_share", default.retry_share, value::share),
-            key_age: reader.default("key_age", default.key_age, value::span(SECOND, HOUR * 24 * 7)),
-            drain_timeout: reader.default("drain_timeout", default.drain_timeout, value::span(SECOND, HOUR * 2)),
+            body: reader.with_default("body", default.body, value::bytes(1 << 10, 64 << 20)),
+            connections: reader.with_default("connections", default.connections as u64, value::count(1, 100_000))
+                as usize,
+            read_timeout: reader.with_default("read_timeout", default.read_timeout, value::duration(SECOND / 10, HOUR)),
+            write_timeout: reader.with_default("write_timeout", default.write_timeout, value::duration(SECOND, HOUR)),
+            idle_timeout: reader.with_default("idle_timeout", default.idle_timeout, value::duration(SECOND, HOUR)),
+            cursor_age: reader.with_default("cursor_age", default.cursor_age, value::duration(SECOND, HOUR * 24)),
+            resumes: reader.with_default("resumes", default.resumes as u64, value::count(1, 10_000)) as usize,
+            retry_share: reader.with_default("retry_share", default.retry_share, value::percentage),
+            key_age: reader.with_default("key_age", default.key_age, value::duration(SECOND, HOUR * 24 * 7)),
+            drain_timeout: reader.with_default(
+                "drain_timeout",
+                default.drain_timeout,
+                value::duration(SECOND, HOUR * 2),
+            ),
         };
         reader.finish();
         limits
--- a/crates/hollyhook_settings/src/site/mod.rs
+++ b/crates/hollyhook_settings/src/site/mod.rs
@@ -1,4 +1,4 @@
-//! What all hosts of a site agree on: the base file with the site's overlay over it.
+//! Settings shared by all hosts of a site: the base file, with the values of the site's overlay file taking precedence.
 
 mod account_settings;
 mod endpoint_settings;
--- a/crates/hollyhook_settings/src/site/service_settings.rs
+++ b/crates/hollyhook_settings/src/site/service_settings.rs
@@ -5,17 +5,17 @@
 use crate::file::SectionReader;
 use crate::value;
 
-/// How urgent the requests of a service are.
+/// Urgency class of a service's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RequestClass {
-    /// Someone waits for a short answer.
+    /// Short answers that callers wait for.
     Quick,
     /// Long generations.
     Long,
 }
 
 impl RequestClass {
-    /// The class's name.
+    /// Returns the class's name.
     pub const fn label(self) -> &'static str {
         match self {
             Self::Quick => "quick",
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Its priority at an endpoint; 0 is the most urgent.
+    /// Returns the priority of the class's requests at an endpoint, 0 the highest.
     pub const fn priority(self) -> u8 {
         match self {
             Self::Quick => 0,
@@ -32,57 +32,57 @@
     }
 }
 
-/// A service that callers reach.
+/// A service that callers can use.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceSettings {
     /// Its name.
     pub name: Name,
-    /// How urgent its requests are.
+    /// The urgency class of its requests.
     pub class: RequestClass,
-    /// What it is.
+    /// Its kind, with the settings specific to the kind.
     pub kind: ServiceKind,
 }
 
-/// What a service is.
+/// Kind of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ServiceKind {
     /// Model engines.
     Generation(GenerationSettings),
-    /// Endpoints that take HTTP calls as they are.
+    /// Plain endpoints, which get callers' HTTP requests unchanged.
     Plain(PlainSettings),
 }
 
-/// A service of model engines.
+/// Settings of a service of model engines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GenerationSettings {
-    /// The weights.
+    /// The model, its version and its adapter.
     pub binding: ModelBinding,
-    /// Tokens of prompt and output together.
+    /// Most tokens of prompt and output together.
     pub context_tokens: u64,
-    /// How generations are guarded.
+    /// Timeouts by which failed attempts are detected and replaced.
     pub policy: RelayPolicy,
 }
 
-/// A service of plain endpoints.
+/// Settings of a service of plain endpoints.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlainSettings {
-    /// The path prefix that leads to it.
+    /// Prefix of the request paths that are routed to the service.
     pub prefix: Name,
-    /// The methods whose calls may be repeated.
+    /// HTTP methods whose calls may be sent again after a failed attempt.
     pub repeatable_methods: Vec<Name>,
-    /// How long a call may take.
+    /// Timeout of a call, including all its attempts.
     pub timeout: Duration,
 }
 
 impl PlainSettings {
-    /// Whether calls by that method may be repeated.
+    /// Returns whether calls of an HTTP method may be sent again; ignores case.
     pub fn is_repeatable(&self, method: &str) -> bool {
         self.repeatable_methods.iter().any(|repeatable| repeatable.eq_ignore_ascii_case(method))
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum KindWord {
+enum KindChoice {
     Generation,
     Plain,
 }
@@ -92,10 +92,10 @@
         let name = reader.name();
         let classes = &[("quick", RequestClass::Quick), ("long", RequestClass::Long)];
         let class = reader.required("class", value::choice(classes));
-        let kinds = &[("generation", KindWord::Generation), ("plain", KindWord::Plain)];
+        let kinds = &[("generation", KindChoice::Generation), ("plain", KindChoice::Plain)];
         let kind = match reader.required("kind", value::choice(kinds)) {
-            Some(KindWord::Generation) => read_generation(&mut reader).map(ServiceKind::Generation),
-            Some(KindWord::Plain) => read_plain(&mut reader).map(ServiceKind::Plain),
+            Some(KindChoice::Generation) => read_generation(&mut reader).map(ServiceKind::Generation),
+            Some(KindChoice::Plain) => read_plain(&mut reader).map(ServiceKind::Plain),
             None => return None,
         };
         reader.finish();
@@ -104,30 +104,31 @@
 }
 
 fn read_generation(reader: &mut SectionReader<'_>) -> Option<GenerationSettings> {
-    const MILLI: Duration = Duration::from_millis(1);
+    const MILLISECOND: Duration = Duration::from_millis(1);
     const MINUTE: Duration = Duration::from_mins(1);
-    let span = || value::span(MILLI, MINUTE);
+    let timeout_range = || value::duration(MILLISECOND, MINUTE);
     let model = reader.required("model", value::name);
     let version = reader.required("version", value::name);
     let adapter = reader.optional("adapter", value::name);
     let context = reader.required("context", value::tokens(16, 1 << 24));
     let policies = &[("favour-latency", true), ("favour-work", false)];
-    let is_hasty = reader.default("policy", true, value::choice(policies));
-    let mut policy = if is_hasty { RelayPolicy::favour_latency() } else { RelayPolicy::favour_work() };
-    policy.silence_floor = reader.default("silence_floor", policy.silence_floor, span());
-    policy.silence_ceiling = reader.default("silence_ceiling", policy.silence_ceiling, span());
-    policy.first_floor = reader.default("first_floor", policy.first_floor, span());
-    policy.first_ceiling = reader.default("first_ceiling", policy.first_ceiling, span());
-    policy.open_timeout = reader.default("open_timeout", policy.open_timeout, span());
-    policy.probe_timeout = reader.default("probe_timeout", policy.probe_timeout, span());
-    policy.reset_probe_timeout = reader.default("reset_probe_timeout", policy.reset_probe_timeout, span());
-    policy.stall_limit = reader.default("stall_limit", policy.stall_limit, span());
-    policy.resume_window = reader.default("resume_window", policy.resume_window, span());
+    let is_latency_favoured = reader.with_default("policy", true, value::choice(policies));
+    let mut policy = if is_latency_favoured { RelayPolicy::favour_latency() } else { RelayPolicy::favour_work() };
+    policy.silence_floor = reader.with_default("silence_floor", policy.silence_floor, timeout_range());
+    policy.silence_ceiling = reader.with_default("silence_ceiling", policy.silence_ceiling, timeout_range());
+    policy.first_floor = reader.with_default("first_floor", policy.first_floor, timeout_range());
+    policy.first_ceiling = reader.with_default("first_ceiling", policy.first_ceiling, timeout_range());
+    policy.open_timeout = reader.with_default("open_timeout", policy.open_timeout, timeout_range());
+    policy.probe_timeout = reader.with_default("probe_timeout", policy.probe_timeout, timeout_range());
+    policy.reset_probe_timeout =
+        reader.with_default("reset_probe_timeout", policy.reset_probe_timeout, timeout_range());
+    policy.stall_limit = reader.with_default("stall_limit", policy.stall_limit, timeout_range());
+    policy.resume_window = reader.with_default("resume_window", policy.resume_window, timeout_range());
     if policy.silence_floor > policy.silence_ceiling {
-        reader.fault("silence_floor", "it is above `silence_ceiling`", "give a floor up to the ceiling");
+        reader.report("silence_floor", "the floor is above `silence_ceiling`", "give a floor up to the ceiling");
     }
     if policy.first_floor > policy.first_ceiling {
-        reader.fault("first_floor", "it is above `first_ceiling`", "give a floor up to the ceiling");
+        reader.report("first_floor", "the floor is above `first_ceiling`", "give a floor up to the ceiling");
     }
     let mut binding = ModelBinding::new(model?, version?);
     binding.adapter = adapter;
@@ -135,10 +136,10 @@
 }
 
 fn read_plain(reader: &mut SectionReader<'_>) -> Option<PlainSettings> {
-    const LEAST: Duration = Duration::from_millis(10);
-    const MOST: Duration = Duration::from_mins(10);
-    let prefix = reader.required("prefix", value::path);
-    let repeatable = reader.default("repeatable", vec!["GET".into(), "HEAD".into()], value::names);
-    let timeout = reader.default("timeout", Duration::from_secs(10), value::span(LEAST, MOST));
+    const MIN: Duration = Duration::from_millis(10);
+    const MAX: Duration = Duration::from_mins(10);
+    let prefix = reader.required("prefix", value::path_prefix);
+    let repeatable = reader.with_default("repeatable", vec!["GET".into(), "HEAD".into()], value::names);
+    let timeout = reader.with_default("timeout", Duration::from_secs(10), value::duration(MIN, MAX));
     Some(PlainSettings { prefix: prefix?, repeatable_methods: repeatable, timeout })
 }
--- a/crates/hollyhook_settings/src/site/site_parser.rs
+++ b/crates/hollyhook_settings/src/site/site_parser.rs
@@ -26,7 +26,8 @@
         let services = self.read_all(&sections, "service", ServiceSettings::read);
         let accounts = self.read_all(&sections, "account", AccountSettings::read);
         let zones = site.as_ref().map(|(_, zones)| zones.clone()).unwrap_or_default();
-        // A service with a wrong key exists all the same; its endpoints are not wrong for that.
+        // Service names come from the section titles, so that an invalid service does not cause errors for its
+        // endpoints.
         let titles = sections.iter().filter(|section| section.kind() == "service");
         let names: Vec<Name> = titles.map(|section| section.name().into()).collect();
         let endpoints = self.read_all(&sections, "endpoint", |reader| EndpointSettings::read(reader, &names, &zones));
@@ -37,7 +38,7 @@
         self.check_unique(&sections, &services, &accounts, &endpoints);
         match site {
             Some((name, zones)) if self.errors.is_empty() => {
-                let digest = digest_of(&sections);
+                let digest = digest_sections(&sections);
                 let key_index = index_keys(&accounts);
                 Ok(SiteSettings { name, zones, services, accounts, endpoints, limits, digest, key_index })
             }
@@ -45,59 +46,65 @@
         }
     }
 
-    /// The errors as a person reads the files: the base first, each from top to bottom.
+    /// Returns the errors in reading order: those of the base file first, each file's by line.
     fn sorted_errors(mut self) -> Vec<SettingError> {
         let base = Name::clone(&self.base.path);
         self.errors.sort_by_key(|error| (error.file != base, error.line));
         self.errors
     }
 
-    /// The base's sections with the overlay's values over them, and the sections that only an overlay has.
+    /// Returns the base's sections, with the overlay's values taking precedence, and the sections that only an overlay
+    /// may have.
     fn merge_sections(&mut self) -> Vec<SettingSection> {
         let mut sections = Vec::new();
         for section in &self.base.sections {
             if BASE_KINDS.contains(&section.kind()) {
                 sections.push(section.clone());
             } else if SITE_KINDS.contains(&section.kind()) {
-                self.errors.push(section.error(None, "this belongs to one site", "move it to the site's overlay"));
+                self.errors.push(section.error(
+                    None,
+                    "a section of this kind belongs to one site",
+                    "move it to the site's overlay",
+                ));
             } else {
-                self.refuse_kind(section);
+                self.reject_kind(section);
             }
         }
         for section in &self.overlay.sections {
             if SITE_KINDS.contains(&section.kind()) {
                 sections.push(section.clone());
             } else if BASE_KINDS.contains(&section.kind()) {
-                self.overlay_section(&mut sections, section);
+                self.apply_overlay(&mut sections, section);
             } else {
-                self.refuse_kind(section);
+                self.reject_kind(section);
             }
         }
         sections
     }
 
-    fn overlay_section(&mut self, sections: &mut [SettingSection], over: &SettingSection) {
-        let Some(under) = sections.iter_mut().find(|section| section.title == over.title) else {
-            let wrong = format!("the overlay invents `{}`", over.title);
-            self.errors.push(over.error(None, &wrong, "add it to the base, for all sites"));
+    /// Replaces and adds the entries of the base's section of the same title.
+    fn apply_overlay(&mut self, sections: &mut [SettingSection], overlay_section: &SettingSection) {
+        let Some(base_section) = sections.iter_mut().find(|section| section.title == overlay_section.title) else {
+            let problem = format!("the base has no section `{}`", overlay_section.title);
+            self.errors.push(overlay_section.error(None, &problem, "add it to the base, which all sites share"));
             return;
         };
-        for entry in &over.entries {
-            match under.entries.iter_mut().find(|old| old.key == entry.key) {
-                Some(old) if old.value == entry.value => {
-                    let right = "an overlay names only what differs; leave it out";
-                    self.errors.push(over.error(Some(entry), "the base has the same value", right));
+        for entry in &overlay_section.entries {
+            match base_section.entries.iter_mut().find(|base_entry| base_entry.key == entry.key) {
+                Some(base_entry) if base_entry.value == entry.value => {
+                    let hint = "remove the line: an overlay sets only what differs from the base";
+                    self.errors.push(overlay_section.error(Some(entry), "the base has the same value", hint));
                 }
-                Some(old) => *old = entry.clone(),
-                None => under.entries.push(entry.clone()),
+                Some(base_entry) => *base_entry = entry.clone(),
+                None => base_section.entries.push(entry.clone()),
             }
         }
     }
 
-    fn refuse_kind(&mut self, section: &SettingSection) {
+    fn reject_kind(&mut self, section: &SettingSection) {
         let kinds = [&BASE_KINDS[..], &SITE_KINDS[..]].concat().join(", ");
-        let right = format!("the kinds of section are {kinds}");
-        self.errors.push(section.error(None, "there is no such kind of section", &right));
+        let hint = format!("the kinds of section are {kinds}");
+        self.errors.push(section.error(None, "there is no such kind of section", &hint));
     }
 
     fn read_site(&mut self, sections: &[SettingSection]) -> Option<(Name, Vec<ZoneName>)> {
@@ -141,46 +148,46 @@
         let mut models = BTreeMap::new();
         let mut prefixes = BTreeMap::new();
         for service in services {
-            let (taken, word, what) = match &service.kind {
+            let (taken, value, field) = match &service.kind {
                 ServiceKind::Generation(generation) => (&mut models, &generation.binding.model, "model"),
                 ServiceKind::Plain(plain) => (&mut prefixes, &plain.prefix, "prefix"),
             };
-            if let Some(first) = taken.insert(Name::clone(word), &service.name) {
-                let wrong = format!("the {what} `{word}` is that of the service `{first}` too");
-                self.fault(sections, &format!("service {}", service.name), &wrong, "give each service its own");
+            if let Some(first) = taken.insert(Name::clone(value), &service.name) {
+                let problem = format!("the {field} `{value}` is already used by the service `{first}`");
+                self.report(sections, &format!("service {}", service.name), &problem, "give each service its own");
             }
         }
         let mut keys = BTreeMap::new();
         for account in accounts {
             for key in &account.keys {
                 if let Some(first) = keys.insert(key, &account.name) {
-                    let wrong = format!("the key is that of the account `{first}` too");
-                    self.fault(sections, &format!("account {}", account.name), &wrong, "give each account its own");
+                    let problem = format!("the key is already used by the account `{first}`");
+                    self.report(sections, &format!("account {}", account.name), &problem, "give each account its own");
                 }
             }
         }
         let mut addresses = BTreeMap::new();
         for endpoint in endpoints {
             if let Some(first) = addresses.insert(endpoint.address, &endpoint.id) {
-                let wrong = format!("the address is that of the endpoint `{first}` too");
-                self.fault(sections, &format!("endpoint {}", endpoint.id), &wrong, "give each endpoint its own");
+                let problem = format!("the address is already used by the endpoint `{first}`");
+                self.report(sections, &format!("endpoint {}", endpoint.id), &problem, "give each endpoint its own");
             }
         }
     }
 
-    fn fault(&mut self, sections: &[SettingSection], title: &str, wrong: &str, right: &str) {
+    fn report(&mut self, sections: &[SettingSection], title: &str, problem: &str, hint: &str) {
         if let Some(section) = sections.iter().find(|section| &*section.title == title) {
-            self.errors.push(section.error(None, wrong, right));
+            self.errors.push(section.error(None, problem, hint));
         }
     }
 }
 
 fn index_keys(accounts: &[AccountSettings]) -> BTreeMap<Name, usize> {
-    let places = accounts.iter().enumerate();
-    places.flat_map(|(place, account)| account.keys.iter().map(move |key| (Name::clone(key), place))).collect()
+    let indexed = accounts.iter().enumerate();
+    indexed.flat_map(|(index, account)| account.keys.iter().map(move |key| (Name::clone(key), index))).collect()
 }
 
-fn digest_of(sections: &[SettingSection]) -> Name {
+fn digest_sections(sections: &[SettingSection]) -> Name {
     let mut text = String::new();
     for section in sections {
         text.push_str(&section.title);
--- a/crates/hollyhook_settings/src/site/site_settings.rs
+++ b/crates/hollyhook_settings/src/site/site_settings.rs
@@ -7,7 +7,7 @@
 use super::{AccountSettings, EndpointSettings, LimitSettings, ServiceKind, ServiceSettings};
 use crate::file::{SettingErrors, SettingFile};
 
-/// What all hosts of a site agree on.
+/// Settings shared by all hosts of a site.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SiteSettings {
     /// The site's name.
@@ -20,20 +20,20 @@
     pub accounts: Vec<AccountSettings>,
     /// The endpoints.
     pub endpoints: Vec<EndpointSettings>,
-    /// What a host bears.
+    /// The limits and timeouts of a host.
     pub limits: LimitSettings,
-    /// A digest of both files, in hexadecimal.
+    /// SHA-256 of the merged sections of both files, in hexadecimal.
     pub digest: Name,
-    /// The place of each account by the digests of its keys.
+    /// Index in `accounts` by the digest of an API key.
     pub(super) key_index: BTreeMap<Name, usize>,
 }
 
 impl SiteSettings {
-    /// Reads a base and an overlay and checks them as a whole.
+    /// Reads a base and an overlay file and checks them as a whole.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong, at once.
+    /// All errors in both files together.
     pub fn load(base: &Path, overlay: &Path) -> Result<Self, SettingErrors> {
         match (SettingFile::load(base), SettingFile::load(overlay)) {
             (Ok(base), Ok(overlay)) => Self::merge(&base, &overlay),
@@ -44,16 +44,16 @@
         }
     }
 
-    /// Checks a base and an overlay that were read.
+    /// Merges a base and an overlay that were already read, and checks the result.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong, at once.
+    /// All errors in both files together.
     pub fn merge(base: &SettingFile, overlay: &SettingFile) -> Result<Self, SettingErrors> {
         SiteParser::new(base, overlay).parse()
     }
 
-    /// The service of engines that serves a model.
+    /// Returns the generation service of a model.
     pub fn service_of_model(&self, model: &str) -> Option<&ServiceSettings> {
         self.services.iter().find(|service| match &service.kind {
             ServiceKind::Generation(generation) => &*generation.binding.model == model,
@@ -61,7 +61,7 @@
         })
     }
 
-    /// The plain service whose prefix begins a path.
+    /// Returns the first plain service whose prefix matches whole segments at the start of a path.
     pub fn service_of_path(&self, path: &str) -> Option<&ServiceSettings> {
         self.services.iter().find(|service| match &service.kind {
             ServiceKind::Generation(_) => false,
@@ -71,8 +71,8 @@
         })
     }
 
-    /// The client account of an API key.
+    /// Returns the client account of an API key, given the key's digest as made by [`key_digest`](crate::key_digest).
     pub fn account_of_key(&self, digest: &str) -> Option<&AccountSettings> {
-        self.key_index.get(digest).and_then(|place| self.accounts.get(*place))
+        self.key_index.get(digest).and_then(|index| self.accounts.get(*index))
     }
 }
--- a/crates/hollyhook_settings/src/value/mod.rs
+++ b/crates/hollyhook_settings/src/value/mod.rs
@@ -1,8 +1,8 @@
-//! Parsing single values: spans with units, sizes, counts, addresses, choices.
+//! Parsers of single values: durations with units, sizes, counts, addresses and choices.
 
 mod value_parsers;
 
 pub(crate) use value_parsers::{
-    ValueFault, address, addresses, bytes, choice, count, file, fraction, hex_32, hex_digest, link_mbps, name, names,
-    path, ratio, share, span, tokens,
+    ValueError, address, addresses, bytes, choice, count, duration, file_path, fraction, hex_32, hex_digest, link_mbps,
+    name, names, path_prefix, percentage, ratio, tokens,
 };
--- a/crates/hollyhook_settings/tests/cases.rs
+++ b/crates/hollyhook_settings/tests/cases.rs
@@ -1,6 +1,7 @@
-//! Base and overlay files with the errors that they must lead to, one case a file.
+//! Checks base and overlay files against the errors expected for them, one case per file.
 //!
-//! A case has the parts `--- base`, `--- overlay` and `--- errors`; no line under the last means that all is right.
+//! A case has the parts `--- base`, `--- overlay` and `--- errors`; no line under `--- errors` means that the settings
+//! are valid.
 
 use std::path::Path;
 
--- a/crates/hollyhook_telemetry/src/metric/metric_recorder.rs
+++ b/crates/hollyhook_telemetry/src/metric/metric_recorder.rs
@@ -18,8 +18,8 @@
     BetweenTokens,
     /// The longest time between two successive events of one stream.
     LongestGap,
-    /// From the last token before an attempt was lost to the first token after the stream resumed. If a caller resumes a
-    /// stream at a gateway with a cursor, from the arrival of that request.
+    /// From the last token before an attempt was lost to the first token after the stream resumed. If a caller resumes
+    /// a stream at a gateway with a cursor, from the arrival of that request.
     ResumeLatency,
     /// From the arrival of a request to its acceptance by an endpoint.
     QueueWait,
--- a/crates/hollyhook_telemetry/tests/metrics.rs
+++ b/crates/hollyhook_telemetry/tests/metrics.rs
@@ -11,7 +11,8 @@
     let recorder = MetricRecorder::with_statsd(socket.local_addr().unwrap(), "host-1").unwrap();
     recorder.count("request");
     recorder.record(MetricMeasure::FirstToken, &"office".into(), "long", &[Duration::from_millis(7)]);
-    // A flush may come before the sink's thread has written a metric, so it is repeated; the daemon flushes every second.
+    // A flush may come before the sink's thread has written a metric, so it is repeated; the daemon flushes every
+    // second.
     socket.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
     let mut received = String::new();
     for _ in 0..500 {
