--- a/crates/hollyhook_daemon/src/call/call_driver.rs
+++ b/crates/hollyhook_daemon/src/call/call_driver.rs
@@ -70,7 +70,7 @@
         };
         let duration = self.context.timer.now() - started_at;
         let class = self.call.class.label();
-        self.context.board.record(MetricMeasure::PlainCall, &self.call.account, class, &[duration]);
+        self.context.recorder.record(MetricMeasure::PlainCall, &self.call.account, class, &[duration]);
         outcome
     }
 
@@ -81,7 +81,7 @@
         match context.claims.claim(record.clone()).await? {
             ClaimOutcome::Granted => {}
             ClaimOutcome::Answered(answer) => {
-                context.board.count("call_replayed");
+                context.recorder.count("call_replayed");
                 let mut response = Response::new(answer.status);
                 response.insert_header("idempotent-replayed", "true");
                 response.set_body(&*answer.body);
@@ -139,7 +139,7 @@
 
     fn assign(&self, avoid: &[EndpointId], is_retry: bool) -> CallEvent {
         if is_retry && !self.lock_retry_budget().try_spend() {
-            self.context.board.count("retry_refused");
+            self.context.recorder.count("retry_refused");
             return CallEvent::RetryRefused;
         }
         let query = RouteQuery::new(&self.call.service).avoid(avoid);
@@ -216,20 +216,20 @@
     }
 
     fn final_response(&mut self, outcome: CallOutcome) -> Result<Response> {
-        let board = &self.context.board;
+        let recorder = &self.context.recorder;
         match (outcome, self.response.take()) {
             (CallOutcome::Answered, Some(answer)) => {
-                board.count("call_answered");
+                recorder.count("call_answered");
                 Ok(strip_unforwarded_headers(answer))
             }
             (CallOutcome::NotRun, _) => {
-                board.count("call_not_run");
+                recorder.count("call_not_run");
                 let message = format!("the call was not run: no endpoint of `{}` takes calls now", self.call.service);
                 let retry_after = RETRY_AFTER + RETRY_AFTER.mul_f64(rand::random());
                 Err(Error::new(ErrorKind::NotRun, message).retry_after(retry_after))
             }
             _ => {
-                board.count("call_unknown");
+                recorder.count("call_unknown");
                 Err(unknown_outcome("the call was sent and no answer came"))
             }
         }
--- a/crates/hollyhook_daemon/src/call/claim_service.rs
+++ b/crates/hollyhook_daemon/src/call/claim_service.rs
@@ -12,7 +12,7 @@
 use hollyhook_wire::{ObjectVersion, PlatformClient, PlatformError, WriteCondition};
 use sha2::{Digest, Sha256};
 
-use hollyhook_telemetry::MetricBoard;
+use hollyhook_telemetry::MetricRecorder;
 
 /// Kind of the platform objects that hold claims.
 const OBJECT_KIND: &str = "claims";
@@ -60,7 +60,7 @@
     /// Starts one worker per shard; without a platform, every claim is refused.
     pub(crate) fn start(
         platform: Option<&PlatformClient>,
-        board: &Arc<MetricBoard>,
+        recorder: &Arc<MetricRecorder>,
         timer: &TimerService,
         key_age: Duration,
     ) -> Self {
@@ -68,7 +68,7 @@
             let (sender, commands) = async_channel::bounded(QUEUE_CAPACITY);
             let worker = ShardWorker {
                 platform: platform.cloned(),
-                board: Arc::clone(board),
+                recorder: Arc::clone(recorder),
                 timer: timer.clone(),
                 name: format!("shard-{shard:02}"),
                 shard: ClaimShard::new(ClaimPolicy { key_age, ..ClaimPolicy::default() }),
@@ -135,7 +135,7 @@
 /// Drives one shard: performs its reads and writes of the platform and returns its verdicts to the waiting callers.
 struct ShardWorker {
     platform: Option<PlatformClient>,
-    board: Arc<MetricBoard>,
+    recorder: Arc<MetricRecorder>,
     timer: TimerService,
     name: String,
     shard: ClaimShard,
@@ -216,7 +216,7 @@
         match platform.put(OBJECT_KIND, &self.name, condition, ledger).await {
             Ok(ObjectVersion(version)) => ClaimEvent::Written { version },
             Err(PlatformError::Conflict) => {
-                self.board.count("claim_conflict");
+                self.recorder.count("claim_conflict");
                 ClaimEvent::Conflicted
             }
             Err(PlatformError::Unavailable) => ClaimEvent::Unavailable,
@@ -245,7 +245,7 @@
     }
 
     fn refusal_error(&self, refusal: ClaimRefusal) -> Error {
-        self.board.count("claim_refused");
+        self.recorder.count("claim_refused");
         match refusal {
             ClaimRefusal::Unavailable => platform_down_error("the platform is down"),
             ClaimRefusal::Unanswered => platform_down_error("the platform does not answer"),
--- a/crates/hollyhook_daemon/src/fleet/cancel_service.rs
+++ b/crates/hollyhook_daemon/src/fleet/cancel_service.rs
@@ -61,7 +61,7 @@
             return;
         }
     }
-    context.board.count("cancel_given_up");
+    context.recorder.count("cancel_given_up");
 }
 
 /// Sends a cancellation; returns whether the endpoint confirmed it or is unknown to this host.
@@ -72,7 +72,7 @@
     let call = context.engine.cancel(address, command.generation, command.attempt, CALL_TIMEOUT);
     let is_confirmed = call.await.is_ok();
     if is_confirmed {
-        context.board.count("cancel_confirmed");
+        context.recorder.count("cancel_confirmed");
     }
     is_confirmed
 }
--- a/crates/hollyhook_daemon/src/fleet/probe_service.rs
+++ b/crates/hollyhook_daemon/src/fleet/probe_service.rs
@@ -51,10 +51,10 @@
         timeout: Duration,
     ) -> ProbeReport {
         if self.wait_for_admission(endpoint).await == QueueOutcome::FoundDead {
-            context.board.count("probe_shared");
+            context.recorder.count("probe_shared");
             return ProbeReport::Dead;
         }
-        context.board.count("probe_sent");
+        context.recorder.count("probe_sent");
         let report = match context.fleet.address(endpoint) {
             Some(address) => context.engine.probe(address, generation, timeout).await,
             None => ProbeReport::Dead,
--- a/crates/hollyhook_daemon/src/front/generate.rs
+++ b/crates/hollyhook_daemon/src/front/generate.rs
@@ -27,7 +27,7 @@
     let bytes = read_body(request.take_body(), context.site.limits.body).await?;
     let caller = CallerRequest::parse(style, &bytes)?;
     let (service, settings) = find_service(&context, &caller)?;
-    caller.check(RequestLimits { context_tokens: settings.context })?;
+    caller.check(RequestLimits { context_tokens: settings.context_tokens })?;
     let cursor = read_cursor(&context, &request, account, &caller)?;
     let keyed_generation = read_idempotency_key(&request)?.map(|key| {
         // The id is derived from the request's digest as well as from the key, so that a key that is reused for another
--- a/crates/hollyhook_daemon/src/relay/latency_tracker.rs
+++ b/crates/hollyhook_daemon/src/relay/latency_tracker.rs
@@ -3,7 +3,7 @@
 
 use hollyhook_core::{Name, TimePoint};
 
-use hollyhook_telemetry::{MetricBoard, MetricMeasure};
+use hollyhook_telemetry::{MetricMeasure, MetricRecorder};
 
 /// Inter-token times that are collected before they are recorded, so that the metrics lock is taken once per batch.
 const BATCH_SIZE: usize = 64;
@@ -11,7 +11,7 @@
 /// Measures the latencies of one generation and records them as metrics, inter-token times in batches.
 #[derive(Debug)]
 pub(super) struct LatencyTracker {
-    board: Arc<MetricBoard>,
+    recorder: Arc<MetricRecorder>,
     account: Name,
     class: &'static str,
     arrived_at: TimePoint,
@@ -21,8 +21,13 @@
 }
 
 impl LatencyTracker {
-    pub(super) fn new(board: Arc<MetricBoard>, account: Name, class: &'static str, arrived_at: TimePoint) -> Self {
-        Self { board, account, class, arrived_at, last_token: None, is_resuming: false, gaps: Vec::new() }
+    pub(super) fn new(
+        recorder: Arc<MetricRecorder>,
+        account: Name,
+        class: &'static str,
+        arrived_at: TimePoint,
+    ) -> Self {
+        Self { recorder, account, class, arrived_at, last_token: None, is_resuming: false, gaps: Vec::new() }
     }
 
     /// Records that an endpoint accepted the request.
@@ -63,7 +68,7 @@
     }
 
     fn record(&self, measure: MetricMeasure, durations: &[Duration]) {
-        self.board.record(measure, &self.account, self.class, durations);
+        self.recorder.record(measure, &self.account, self.class, durations);
     }
 }
 
--- a/crates/hollyhook_daemon/src/relay/relay_driver.rs
+++ b/crates/hollyhook_daemon/src/relay/relay_driver.rs
@@ -61,9 +61,9 @@
     pub(crate) fn new(context: Arc<HostContext>, task: RelayTask, start: GenerationStart, link: CallerLink) -> Self {
         let (event_sender, events) = async_channel::bounded(EVENT_CAPACITY);
         let (permit_sender, permit) = async_channel::bounded(1);
-        let board = Arc::clone(&context.board);
+        let recorder = Arc::clone(&context.recorder);
         let tracker =
-            LatencyTracker::new(board, AccountName::clone(&task.account), task.class.label(), task.arrived_at);
+            LatencyTracker::new(recorder, AccountName::clone(&task.account), task.class.label(), task.arrived_at);
         Self {
             request_digest: task.request.digest(),
             trace: context.keeps_traces.then(|| new_trace(&task, &start.relay)),
@@ -87,7 +87,7 @@
     }
 
     pub(crate) async fn run(mut self) {
-        self.context.board.count("generation_started");
+        self.context.recorder.count("generation_started");
         self.handle(RelayEvent::Started).await;
         while self.relay.phase() != RelayPhase::Done {
             let event = self.next_event().await;
@@ -218,7 +218,7 @@
         self.attempt = None;
         let command = CancelCommand { endpoint, generation: self.generation, attempt };
         if self.context.cancels.post(command).is_err() {
-            self.context.board.count("cancel_dropped");
+            self.context.recorder.count("cancel_dropped");
         }
     }
 
@@ -259,8 +259,8 @@
 
     async fn complete(&mut self, reason: EndReason, tokens: u64) {
         let usage = self.attempt.take().and_then(|attempt| attempt.usage());
-        self.context.board.count("generation_completed");
-        self.context.board.count_by("tokens_delivered", tokens);
+        self.context.recorder.count("generation_completed");
+        self.context.recorder.count_by("tokens_delivered", tokens);
         let prompt = usage.map_or_else(|| self.task.request.prompt_tokens(), |usage| usage.prompt_tokens);
         let usage = EngineUsage { prompt_tokens: prompt, completion_tokens: tokens, total_tokens: prompt + tokens };
         let text = if self.link.is_streaming() { String::new() } else { self.relay.log().text().to_owned() };
@@ -270,7 +270,7 @@
 
     async fn fail(&mut self, kind: ErrorKind, delivered: u64) {
         self.attempt = None;
-        self.context.board.count("generation_failed");
+        self.context.recorder.count("generation_failed");
         let mut error = Error::new(kind, failure_message(kind, delivered, &self.task));
         if kind.has_retry_after() {
             error = error.retry_after(RETRY_AFTER + RETRY_AFTER.mul_f64(rand::random()));
@@ -279,7 +279,7 @@
     }
 
     fn count(&mut self, counter: RelayCounter) {
-        self.context.board.count(counter.label());
+        self.context.recorder.count(counter.label());
         match counter {
             RelayCounter::Resumed | RelayCounter::Reattached | RelayCounter::Replayed => self.tracker.mark_resuming(),
             _ => {}
--- a/crates/hollyhook_gateway/src/gateway/quarantine_tracker.rs
+++ b/crates/hollyhook_gateway/src/gateway/quarantine_tracker.rs
@@ -6,7 +6,7 @@
 use hollyhook_core::{CrashLedger, CrashRecords, EndpointId, Name, QuarantineChange, RequestDigest, Result};
 use hollyhook_kernel::ServiceRegistry;
 use hollyhook_platform::StoreObject;
-use hollyhook_telemetry::MetricBoard;
+use hollyhook_telemetry::MetricRecorder;
 
 use super::unix_time::unix_millis;
 use crate::sync::lock;
@@ -14,7 +14,7 @@
 /// The requests that crash the endpoints which run them, from the crashes that this host saw and those in the store.
 #[derive(Debug)]
 pub(crate) struct QuarantineTracker {
-    board: Arc<MetricBoard>,
+    recorder: Arc<MetricRecorder>,
     ledger: Mutex<CrashLedger>,
     /// The crash records in the store, by the endpoint entry that holds them.
     entries: Mutex<BTreeMap<Name, CrashRecords>>,
@@ -33,7 +33,7 @@
     /// `Internal` if a service that the tracker uses is not registered.
     pub(crate) fn new(registry: &ServiceRegistry) -> Result<Self> {
         Ok(Self {
-            board: registry.find(MetricBoard::NAME)?,
+            recorder: registry.find(MetricRecorder::NAME)?,
             ledger: Mutex::default(),
             entries: Mutex::default(),
             is_writing: AtomicBool::new(false),
@@ -176,7 +176,7 @@
 
     fn log(&self, change: &QuarantineChange) {
         for digest in &change.refused {
-            self.board.count("requests_quarantined");
+            self.recorder.count("requests_quarantined");
             tracing::warn!(%digest, "quarantine.begun");
         }
         for digest in &change.cleared {
--- a/crates/hollyhook_gateway/src/peer/host_registrar.rs
+++ b/crates/hollyhook_gateway/src/peer/host_registrar.rs
@@ -132,7 +132,7 @@
         let records: Vec<HostRecord> = self.zones.values().flatten().cloned().collect();
         tracing::debug!(hosts = records.len(), "hosts.listed");
         self.context.feed.set_hosts(records);
-        self.context.board.count("hosts_listed");
+        self.context.recorder.count("hosts_listed");
     }
 
     /// Reads the hosts of a zone from the store; logs and leaves out entries that are malformed or of another zone.
--- a/crates/hollyhook_gateway/src/store/feed_reader.rs
+++ b/crates/hollyhook_gateway/src/store/feed_reader.rs
@@ -119,7 +119,7 @@
                 if is_unanswered
                     && let Some(mut update) = self.fetch_from_hosts(PeerRole::Helper, &self.helpers()).await
                 {
-                    self.context.board.count("helped_by_hosts");
+                    self.context.recorder.count("helped_by_hosts");
                     self.is_from_helper = true;
                     // A host that was updated by a helper does not update others: its copy may be older than they
                     // accept.
@@ -215,7 +215,7 @@
         match role {
             PeerRole::Leader | PeerRole::Source | PeerRole::ListSource => {
                 tracing::info!(leader = %host.host, kind = self.kind.as_str(), reason = fault.detail, "leader.passed_over");
-                self.context.board.count("leaders_passed_over");
+                self.context.recorder.count("leaders_passed_over");
                 self.context.feed.skip_source(now, &host.host, fault.reason);
             }
             PeerRole::Helper => {
@@ -281,7 +281,7 @@
 
     /// Counts a failed call to the store, and logs the first in a row.
     fn record_lost(&mut self, started_at: TimePoint, error: &StoreError) {
-        self.context.board.count("store_calls_failed");
+        self.context.recorder.count("store_calls_failed");
         if self.lost_at.is_none() {
             self.lost_at = Some(started_at);
             let call_ms = self.millis_since(started_at);
--- a/crates/hollyhook_telemetry/src/lib.rs
+++ b/crates/hollyhook_telemetry/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a process tells its operators: log lines, counters and histograms.
+//! Log output of a process, and its counters and latency histograms.
 
 mod log;
 mod metric;
 
-pub use log::{LogGuard, LogTarget, LogVolume, init_log};
-pub use metric::{MetricBoard, MetricMeasure, MetricScope, ProcessUsage};
+pub use log::{LogGuard, LogLimiter, LogTarget, init_log};
+pub use metric::{MetricMeasure, MetricRecorder, MetricScope, ProcessUsage};
