--- a/crates/hollyhook_command/src/load/failure_stream.rs
+++ b/crates/hollyhook_command/src/load/failure_stream.rs
@@ -10,20 +10,21 @@
 
 use crate::fixture::LocalFleet;
 
-/// How long the naive way waits for a token.
+/// Time for which the naive client waits for a response or a token before it turns to the next engine.
 const NAIVE_TIMEOUT: Duration = Duration::from_secs(5);
-const NAIVE_TRIES: usize = 10;
+/// Most attempts of the naive client for one stream.
+const MAX_NAIVE_ATTEMPTS: usize = 10;
 
-/// How a stream is served.
+/// How a stream is requested.
 #[derive(Debug)]
-pub(super) enum StreamWay {
+pub(super) enum StreamClient {
     /// Through a daemon.
     Daemon(CallerClient),
-    /// Straight to one engine after the other, from the beginning each time.
+    /// Directly from the engines, each attempt at the next one and from the beginning.
     Naive(Vec<SocketAddr>),
 }
 
-impl StreamWay {
+impl StreamClient {
     pub(super) fn daemon(fleet: &LocalFleet, number: usize) -> Self {
         Self::Daemon(fleet.client(number % fleet.daemons.len()))
     }
@@ -39,23 +40,24 @@
 pub(super) struct FailureStream {
     prompt: String,
     tokens: u64,
-    half: Option<Sender<()>>,
+    half_sender: Option<Sender<()>>,
     received: Vec<String>,
     times: Vec<Instant>,
 }
 
-/// What came of a stream.
+/// Outcome of a stream.
 #[derive(Debug)]
 pub(super) struct StreamOutcome {
-    pub(super) is_whole: bool,
+    /// Whether all tokens arrived, each following from the one before.
+    pub(super) is_complete: bool,
     times: Vec<Instant>,
 }
 
 impl StreamOutcome {
-    /// The longest time without a new token behind the fault; none if the stream had ended.
+    /// Longest time without a new token after the fault; `None` if no token arrived after it.
     ///
-    /// Tokens that were on their way when it happened do not end the wait.
-    pub(super) fn wait_after(&self, failed_at: Instant) -> Option<Duration> {
+    /// As this is the longest of all gaps after the fault, tokens in transit at its time do not hide the wait for a resume.
+    pub(super) fn longest_gap_after(&self, failed_at: Instant) -> Option<Duration> {
         let gaps = self.times.windows(2).filter(|pair| pair[1] > failed_at);
         gaps.map(|pair| pair[1] - pair[0].max(failed_at)).max()
     }
@@ -63,32 +65,32 @@
 
 impl FailureStream {
     pub(super) fn new(number: usize, prompt_words: usize, tokens: u64) -> Self {
-        // No two prompts share a prefix, so the cache saves nothing but what a resume reads again.
+        // Prompts share no prefix, so an engine's prompt cache saves work only if a resume reads a prompt again.
         let words = (0..prompt_words).map(|word| format!("{number}-{word}"));
         Self {
             prompt: words.collect::<Vec<_>>().join(" "),
             tokens,
-            half: None,
+            half_sender: None,
             received: Vec::new(),
             times: Vec::new(),
         }
     }
 
-    /// Tells when half of the tokens are there.
+    /// Sends a message to `sender` once half of the tokens have arrived.
     #[must_use]
-    pub(super) fn half(mut self, sender: Sender<()>) -> Self {
-        self.half = Some(sender);
+    pub(super) fn notify_at_half(mut self, sender: Sender<()>) -> Self {
+        self.half_sender = Some(sender);
         self
     }
 
-    pub(super) async fn run(mut self, way: StreamWay) -> StreamOutcome {
-        match way {
-            StreamWay::Daemon(client) => self.run_daemon(&client).await,
-            StreamWay::Naive(engines) => self.run_naive(&engines).await,
+    pub(super) async fn run(mut self, client: StreamClient) -> StreamOutcome {
+        match client {
+            StreamClient::Daemon(client) => self.run_daemon(&client).await,
+            StreamClient::Naive(engines) => self.run_naive(&engines).await,
         }
         let chain = TokenChain::new(&self.prompt, &LocalFleet::binding());
         let is_linked = chain.first_break(self.received.iter().map(String::as_str)).is_none();
-        StreamOutcome { is_whole: is_linked && self.received.len() as u64 == self.tokens, times: self.times }
+        StreamOutcome { is_complete: is_linked && self.received.len() as u64 == self.tokens, times: self.times }
     }
 
     async fn run_daemon(&mut self, client: &CallerClient) {
@@ -99,7 +101,7 @@
     }
 
     async fn run_naive(&mut self, engines: &[SocketAddr]) {
-        for engine in engines.iter().cycle().take(NAIVE_TRIES) {
+        for engine in engines.iter().cycle().take(MAX_NAIVE_ATTEMPTS) {
             let client = CallerClient::new(*engine, "");
             let opened = timeout(NAIVE_TIMEOUT, client.stream(ApiStyle::Completion, &self.naive_body(), &[])).await;
             if let Ok(Ok(Ok(mut stream))) = opened
@@ -123,7 +125,8 @@
         body
     }
 
-    /// Reads to the end; returns whether it came. What the caller has already is not counted again.
+    /// Reads a stream to its end and returns whether the end arrived. Skips the positions already received from an earlier
+    /// attempt.
     async fn read(&mut self, stream: &mut CallerStream, limit: Option<Duration>) -> bool {
         let mut position = 0;
         loop {
@@ -134,7 +137,7 @@
             match next {
                 Some(Ok(CallerItem::Token { text, .. })) => {
                     if position == self.received.len() {
-                        self.take(text);
+                        self.record_token(text);
                     }
                     position += 1;
                 }
@@ -145,13 +148,13 @@
         }
     }
 
-    fn take(&mut self, text: String) {
+    fn record_token(&mut self, text: String) {
         self.received.push(text);
         self.times.push(Instant::now());
         if self.received.len() as u64 == self.tokens / 2
-            && let Some(half) = self.half.take()
+            && let Some(half_sender) = self.half_sender.take()
         {
-            let _gone = half.try_send(());
+            let _receiver_gone = half_sender.try_send(());
         }
     }
 }
--- a/crates/hollyhook_command/src/load/failures.rs
+++ b/crates/hollyhook_command/src/load/failures.rs
@@ -9,42 +9,44 @@
 use hollyhook_wire::EngineWork;
 use serde::Serialize;
 
-use super::failure_stream::{FailureStream, StreamOutcome, StreamWay};
+use super::failure_stream::{FailureStream, StreamClient, StreamOutcome};
 use super::sample_set::SampleSet;
 use crate::fixture::{FleetOptions, LocalFleet};
 
 const ZONES: usize = 4;
 const ENGINES: usize = 8;
-const PLACES: u32 = 16;
+/// Concurrent requests per engine.
+const SLOTS: u32 = 16;
+/// Duration of an engine's decode step.
 const STEP: Duration = Duration::from_millis(20);
-/// The engine's time to read a token.
+/// Time in which an engine reads one prompt token.
 const READ_COST: Duration = Duration::from_micros(100);
-/// Streams at 80 in 100 of all places.
-const LOADED: usize = ENGINES * PLACES as usize * 8 / 10;
+/// Number of streams that occupies 80 % of all slots.
+const LOADED_STREAMS: usize = ENGINES * SLOTS as usize * 8 / 10;
 
-/// The engine's time for a decoded token, in seconds, with all places taken.
+/// Engine time per decoded token in seconds, with all slots occupied.
 fn decode_cost() -> f64 {
-    STEP.as_secs_f64() / f64::from(PLACES)
+    STEP.as_secs_f64() / f64::from(SLOTS)
 }
 
-/// How the experiment runs.
+/// Arguments of `hollyhook load failures`.
 #[derive(Debug, Args)]
 pub(crate) struct FailureArgs {
-    /// Tokens of each stream; the fault comes when every stream has half of them.
+    /// Tokens of each stream; the fault is injected once every stream has received half of them.
     #[arg(long, default_value_t = 150)]
     tokens: u64,
     /// Words of each prompt.
     #[arg(long, default_value_t = 200)]
     prompt: usize,
-    /// Print one JSON object a row.
+    /// Print one JSON object per row.
     #[arg(long)]
     json: bool,
 }
 
-/// What fails, midway.
+/// Fault that is injected when the streams are halfway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-enum FaultPlan {
+enum FaultScenario {
     None,
     KillEngine,
     PauseEngine,
@@ -53,7 +55,7 @@
     PauseZone,
 }
 
-impl FaultPlan {
+impl FaultScenario {
     const ALL: [Self; 6] =
         [Self::None, Self::KillEngine, Self::PauseEngine, Self::SilenceEngine, Self::KillZone, Self::PauseZone];
 
@@ -66,7 +68,7 @@
         })
     }
 
-    /// Engines that suffer it, with one that is busy among them. An engine's zone is its number's remainder.
+    /// Engines that the fault affects, `busy` among them. The zone of an engine is its number modulo `ZONES`.
     fn engines(self, busy: usize) -> Vec<usize> {
         match self {
             Self::None => Vec::new(),
@@ -76,43 +78,45 @@
     }
 }
 
-/// Who serves the streams.
+/// Recovery policy of a run: one of the daemon's, or a naive client without a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-enum PolicyPlan {
+enum RecoveryPolicy {
     FavourLatency,
     FavourWork,
-    /// Straight to the engines: restart from nothing on a reset or after 5 s without a token.
+    /// Requests sent directly to the engines, restarted from the beginning after a reset or 5 s without a token.
     Naive,
 }
 
-impl PolicyPlan {
+impl RecoveryPolicy {
     const ALL: [Self; 3] = [Self::FavourLatency, Self::FavourWork, Self::Naive];
 }
 
-/// One run.
+/// Results of one run.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 struct FailureRow {
-    fault: FaultPlan,
-    policy: PolicyPlan,
+    fault: FaultScenario,
+    policy: RecoveryPolicy,
     streams: usize,
-    /// Streams that ran on what failed.
+    /// Streams that ran on the failed engines.
     affected: usize,
-    /// Answers that were whole, with every token compared.
+    /// Streams that were complete, with every token compared.
     whole: usize,
     resume_p50_ms: f64,
     resume_p99_ms: f64,
     resume_max_ms: f64,
     extra_prefill_tokens: u64,
     extra_decode_tokens: u64,
-    /// Engine work in tokens over that of an undisturbed run, less one.
+    /// Engine work in tokens divided by that of an undisturbed run, minus one.
     extra_work_ratio: f64,
-    /// Engine time over that of an undisturbed run, less one: a read token takes 0.1 ms, a decoded one its place's
+    /// Engine time divided by that of an undisturbed run, minus one. A read token takes 0.1 ms, a decoded one its slot's
     /// share of a step.
     extra_time_ratio: f64,
 }
 
-/// Runs every fault with every policy, for one stream and at 80 in 100 of the places, and prints a row each.
+/// Runs every fault with every policy, for one stream and at 80 % of the slots, and prints one row for each run.
+///
+/// Exits with failure if a stream through a daemon was incomplete.
 pub(crate) async fn run_failures(args: FailureArgs) -> Result<ExitCode> {
     if !args.json {
         println!(
@@ -131,17 +135,17 @@
             "time %"
         );
     }
-    let mut is_whole = true;
-    for streams in [1, LOADED] {
-        for fault in FaultPlan::ALL {
-            for policy in PolicyPlan::ALL {
-                let row = run_plan(&args, fault, policy, streams).await?;
-                is_whole &= policy == PolicyPlan::Naive || row.whole == row.streams;
+    let mut is_success = true;
+    for streams in [1, LOADED_STREAMS] {
+        for fault in FaultScenario::ALL {
+            for policy in RecoveryPolicy::ALL {
+                let row = run_scenario(&args, fault, policy, streams).await?;
+                is_success &= policy == RecoveryPolicy::Naive || row.whole == row.streams;
                 print_row(&args, &row)?;
             }
         }
     }
-    Ok(if is_whole { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if is_success { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 fn print_row(args: &FailureArgs, row: &FailureRow) -> Result<()> {
@@ -167,48 +171,53 @@
     Ok(())
 }
 
-async fn run_plan(args: &FailureArgs, fault: FaultPlan, policy: PolicyPlan, streams: usize) -> Result<FailureRow> {
-    let lines = if policy == PolicyPlan::FavourWork { "policy = favour-work" } else { "" };
-    let options = FleetOptions::new(ENGINES).step(STEP).zones(ZONES).capacity(PLACES).service_lines(lines);
+async fn run_scenario(
+    args: &FailureArgs,
+    fault: FaultScenario,
+    policy: RecoveryPolicy,
+    streams: usize,
+) -> Result<FailureRow> {
+    let lines = if policy == RecoveryPolicy::FavourWork { "policy = favour-work" } else { "" };
+    let options = FleetOptions::new(ENGINES).step(STEP).zones(ZONES).capacity(SLOTS).service_lines(lines);
     let fleet = LocalFleet::start(&options).await?;
-    let (half, halves) = async_channel::unbounded();
+    let (half_sender, half_receiver) = async_channel::unbounded();
     let runs: Vec<_> = (0..streams)
         .map(|number| {
-            let way = match policy {
-                PolicyPlan::Naive => StreamWay::naive(&fleet, number),
-                _ => StreamWay::daemon(&fleet, number),
+            let client = match policy {
+                RecoveryPolicy::Naive => StreamClient::naive(&fleet, number),
+                _ => StreamClient::daemon(&fleet, number),
             };
-            let stream = FailureStream::new(number, args.prompt, args.tokens).half(half.clone());
-            task::spawn(stream.run(way))
+            let stream = FailureStream::new(number, args.prompt, args.tokens).notify_at_half(half_sender.clone());
+            task::spawn(stream.run(client))
         })
         .collect();
     for _ in 0..streams {
-        halves.recv().await?;
+        half_receiver.recv().await?;
     }
     let busy = fleet.busy_engine().unwrap_or_default();
-    let suffering = fault.engines(busy);
-    let affected = suffering.iter().map(|engine| fleet.engines[*engine].counts().running as usize).sum();
+    let failing = fault.engines(busy);
+    let affected = failing.iter().map(|engine| fleet.engines[*engine].counts().running as usize).sum();
     let failed_at = Instant::now();
     if let Some(kind) = fault.kind() {
-        for engine in suffering {
+        for engine in failing {
             fleet.engines[engine].suffer(FaultOrder { kind, millis: 0, count: 0 });
         }
     }
     let outcomes = join_all(runs).await;
-    Ok(judge(args, fault, policy, affected, failed_at, &outcomes, fleet.work()))
+    Ok(failure_row(args, fault, policy, affected, failed_at, &outcomes, fleet.work()))
 }
 
-fn judge(
+fn failure_row(
     args: &FailureArgs,
-    fault: FaultPlan,
-    policy: PolicyPlan,
+    fault: FaultScenario,
+    policy: RecoveryPolicy,
     affected: usize,
     failed_at: Instant,
     outcomes: &[StreamOutcome],
     work: EngineWork,
 ) -> FailureRow {
-    let mut waits: Vec<Duration> = outcomes.iter().filter_map(|outcome| outcome.wait_after(failed_at)).collect();
-    // Those that ran on what failed waited longest.
+    let mut waits: Vec<Duration> = outcomes.iter().filter_map(|outcome| outcome.longest_gap_after(failed_at)).collect();
+    // The streams on failed engines are taken to be those that waited longest.
     waits.sort_unstable_by(|a, b| b.cmp(a));
     let mut resume = SampleSet::default();
     waits.iter().take(affected).for_each(|wait| resume.add(*wait));
@@ -223,7 +232,7 @@
         policy,
         streams,
         affected,
-        whole: outcomes.iter().filter(|outcome| outcome.is_whole).count(),
+        whole: outcomes.iter().filter(|outcome| outcome.is_complete).count(),
         resume_p50_ms: resume.millis(0.5),
         resume_p99_ms: resume.millis(0.99),
         resume_max_ms: resume.millis(1.0),
--- a/crates/hollyhook_command/src/load/load_args.rs
+++ b/crates/hollyhook_command/src/load/load_args.rs
@@ -8,7 +8,7 @@
 use super::placement::{PlacementArgs, run_placement};
 use super::slopes::{SlopeArgs, run_slopes};
 
-/// Which experiment to run.
+/// Arguments of `hollyhook load`: the experiment to run.
 #[derive(Debug, Args)]
 pub(crate) struct LoadArgs {
     #[command(subcommand)]
@@ -17,17 +17,18 @@
 
 #[derive(Debug, Subcommand)]
 enum LoadKind {
-    /// Compare streams through a running daemon with streams straight from its engine.
+    /// Compare streams through a running daemon with streams read directly from its engine.
     Overhead(OverheadArgs),
-    /// Kill, pause and silence engines and zones of a fleet in this process; compare policies with the naive way.
+    /// Kill, pause and silence engines and zones of a fleet in this process; compare policies with a naive client.
     Failures(FailureArgs),
-    /// Measure what one more stream, token, endpoint, account or claim costs; docs/CAPACITY.md is worked out from it.
+    /// Measure the cost of one more stream, token, endpoint, account or claim, from which docs/CAPACITY.md is derived.
     Slopes(SlopeArgs),
-    /// Play placement policies in virtual time on a model of the engines, up to twice their capacity and with losses.
+    /// Simulate placement policies in virtual time on a model of the engines, by default up to twice their capacity,
+    /// with and without zone failures.
     Placement(PlacementArgs),
 }
 
-/// Runs an experiment and prints what it measured.
+/// Runs an experiment and prints its results.
 pub(crate) async fn run_load(args: LoadArgs) -> Result<ExitCode> {
     match args.kind {
         LoadKind::Overhead(args) => run_overhead(args).await,
--- a/crates/hollyhook_command/src/load/mod.rs
+++ b/crates/hollyhook_command/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! Load and experiments: what the daemon costs, and how it does through failures.
+//! Load generation and experiments: the daemon's overhead, and its behaviour during failures.
 
 mod failure_stream;
 mod failures;
--- a/crates/hollyhook_command/src/load/overhead.rs
+++ b/crates/hollyhook_command/src/load/overhead.rs
@@ -15,39 +15,39 @@
 
 use super::sample_set::SampleSet;
 
-/// What to compare.
+/// Arguments of `hollyhook load overhead`.
 #[derive(Debug, Args)]
 pub(crate) struct OverheadArgs {
-    /// Where the daemon serves callers.
+    /// Address at which the daemon serves callers.
     #[arg(long)]
     daemon: SocketAddr,
-    /// Where the daemon serves the operator's command.
+    /// Address at which the daemon serves the operator's command (`peer_listen` in its settings).
     #[arg(long)]
     peer: SocketAddr,
-    /// The one engine stand-in behind it.
+    /// Address of the daemon's only engine, a stand-in.
     #[arg(long)]
     engine: SocketAddr,
-    /// The API key.
+    /// API key of a client account.
     #[arg(long)]
     key: String,
-    /// The model's name.
+    /// Name of the model.
     #[arg(long, default_value = "tutor-7b")]
     model: String,
-    /// The version of the weights.
+    /// Version of the model's weights.
     #[arg(long, default_value = "1")]
     weights: String,
-    /// How many streams at a time, one run each.
+    /// Numbers of concurrent streams; one run for each.
     #[arg(long, value_delimiter = ',', default_values_t = [1, 100, 1_000])]
     streams: Vec<usize>,
     /// Tokens of each stream.
     #[arg(long, default_value_t = 250)]
     tokens: u64,
-    /// Print one JSON object a row.
+    /// Print one JSON object per row.
     #[arg(long)]
     json: bool,
 }
 
-/// One run of one way.
+/// Results of one run, directly at the engine or through the daemon.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 struct OverheadRow {
     way: &'static str,
@@ -58,15 +58,15 @@
     between_p50_ms: f64,
     between_p99_ms: f64,
     tokens_per_second: f64,
-    /// Processor time of the daemon, in microseconds a token.
+    /// Processor time of the daemon, in microseconds per token.
     daemon_cpu_us_per_token: Option<f64>,
-    /// Tokens a second that one core of the daemon would carry.
+    /// Tokens per second that the daemon could relay on one core, by its processor time per token.
     daemon_tokens_per_core: Option<f64>,
-    /// Growth of the daemon's resident memory with all streams open, in KiB a stream.
+    /// Growth of the daemon's resident memory with all streams open, in KiB per stream.
     daemon_kib_per_stream: Option<f64>,
 }
 
-/// Runs each way with each number of streams and prints a row each.
+/// Runs each number of streams directly and through the daemon, and prints one row for each run.
 pub(crate) async fn run_overhead(args: OverheadArgs) -> Result<ExitCode> {
     if !args.json {
         println!(
@@ -131,7 +131,7 @@
     for run in join_all(runs).await {
         let run = run?;
         first.add(run.0);
-        between.join(&run.1);
+        between.merge(&run.1);
     }
     let seconds = begin.elapsed().as_secs_f64();
     let tokens = streams as u64 * args.tokens;
@@ -158,7 +158,7 @@
     Ok(row)
 }
 
-/// The daemon's memory when half of a run's tokens should be there and every stream is open.
+/// Largest resident memory of the daemon seen until 0.5 s after every stream is open, or over 400 polls 50 ms apart.
 async fn peak_memory(args: &OverheadArgs, streams: usize) -> Result<u64> {
     const POLL: Duration = Duration::from_millis(50);
     const TRIES: u32 = 400;
@@ -177,7 +177,7 @@
 
 async fn status(peer: SocketAddr) -> Result<StatusReport> {
     let client = connect_peer(peer, Duration::from_secs(2)).await?;
-    client.status(tarpc::context::current()).await?.ok_or_eyre("the daemon has no status to show")
+    client.status(tarpc::context::current()).await?.ok_or_eyre("the daemon returned no status")
 }
 
 fn body(args: &OverheadArgs, is_daemon: bool, number: usize) -> Value {
@@ -200,7 +200,7 @@
     let begin = Instant::now();
     let mut stream = match client.stream(ApiStyle::Completion, &body, &[]).await? {
         Ok(stream) => stream,
-        Err(refusal) => bail!("refused: {}", refusal.error.message),
+        Err(refusal) => bail!("the request was refused: {}", refusal.error.message),
     };
     let mut first = None;
     let mut between = SampleSet::default();
@@ -219,12 +219,12 @@
                 count += 1;
             }
             CallerItem::End(_) => {}
-            CallerItem::Failed(body) => bail!("failed: {}", body.error.message),
+            CallerItem::Failed(body) => bail!("the generation failed: {}", body.error.message),
             CallerItem::Done => break,
         }
     }
     if count != tokens {
-        bail!("{count} tokens came instead of {tokens}");
+        bail!("the stream had {count} tokens instead of {tokens}");
     }
     Ok((first.unwrap_or_default(), between))
 }
--- a/crates/hollyhook_command/src/load/placement/host_model.rs
+++ b/crates/hollyhook_command/src/load/placement/host_model.rs
@@ -4,27 +4,28 @@
 use rand::Rng;
 use rand::rngs::StdRng;
 
-use super::engine_model::MEMORY_TOKENS;
+use super::engine_model::KV_CAPACITY_TOKENS;
 use super::report_log::ReportLog;
 
-/// How a host places a generation.
+/// Policy by which a host chooses an engine for a generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub(super) enum PlacementPolicy {
-    /// In turn.
+    /// Each engine in turn.
     RoundRobin,
-    /// The one of two drawn at random to which this host has less open.
+    /// Of two engines drawn at random, the one with fewer open requests of this host.
     TwoChoices,
-    /// The one to which this host has least open.
+    /// The engine with the fewest open requests of this host.
     LeastOpen,
-    /// As the gateway does: two in the order that all hosts share are asked.
+    /// The gateway's policy: asks engines for load reports, two in the order that all hosts share for the prompt and two
+    /// outside the zone of the first, and chooses by the reports.
     AskTwo,
 }
 
-/// An entry host that knows only what it sent, and what engines report when asked.
+/// Model of an entry host, which knows only its own requests and the reports that it fetches from engines.
 pub(super) struct HostModel {
     table: EndpointTable,
-    count: usize,
-    turn: usize,
+    engine_count: usize,
+    last_turn: usize,
 }
 
 impl HostModel {
@@ -35,10 +36,13 @@
             let address = ([10, 0, (number >> 8) as u8, number as u8], 80).into();
             table.upsert(EndpointRecord::new(id, "model".into(), zone_name(number % zones).into(), address));
         }
-        Self { table, count: engines, turn: zone }
+        Self { table, engine_count: engines, last_turn: zone }
     }
 
-    /// Chooses an engine; `is_up` tells which connections are refused.
+    /// Chooses an engine for a prompt, given as its key and its tokens with the output, and records the request as open there.
+    ///
+    /// An engine that is down refuses the connection: the host records the failure and chooses again, at most once per
+    /// engine; after that the request goes to engine 0.
     pub(super) fn place(
         &mut self,
         policy: PlacementPolicy,
@@ -47,7 +51,7 @@
         reports: &ReportLog,
         rng: &mut StdRng,
     ) -> usize {
-        let chosen = (0..self.count).find_map(|_| {
+        let chosen = (0..self.engine_count).find_map(|_| {
             let engine = self.choose(policy, now, prompt, reports, rng);
             if reports.is_up(engine) {
                 return Some(engine);
@@ -68,52 +72,52 @@
         &mut self,
         policy: PlacementPolicy,
         now: TimePoint,
-        (number, tokens): (u64, u64),
+        (key, tokens): (u64, u64),
         reports: &ReportLog,
         rng: &mut StdRng,
     ) -> usize {
         match policy {
             PlacementPolicy::RoundRobin => {
-                self.turn += 1;
-                self.turn % self.count
+                self.last_turn += 1;
+                self.last_turn % self.engine_count
             }
             PlacementPolicy::TwoChoices => {
-                let (a, b) = (rng.random_range(0..self.count), rng.random_range(0..self.count));
-                if self.open(a) <= self.open(b) { a } else { b }
+                let (a, b) = (rng.random_range(0..self.engine_count), rng.random_range(0..self.engine_count));
+                if self.open_requests(a) <= self.open_requests(b) { a } else { b }
             }
             PlacementPolicy::LeastOpen => {
-                let first = rng.random_range(0..self.count);
-                let order = (0..self.count).map(|step| (first + step) % self.count);
-                order.min_by_key(|engine| self.open(*engine)).unwrap_or(first)
+                let first = rng.random_range(0..self.engine_count);
+                let order = (0..self.engine_count).map(|step| (first + step) % self.engine_count);
+                order.min_by_key(|engine| self.open_requests(*engine)).unwrap_or(first)
             }
-            PlacementPolicy::AskTwo => self.ask_two(now, number, tokens, reports),
+            PlacementPolicy::AskTwo => self.ask_two(now, key, tokens, reports),
         }
     }
 
-    fn ask_two(&self, now: TimePoint, number: u64, tokens: u64, reports: &ReportLog) -> usize {
-        let query = RouteQuery::new("model").slots((MEMORY_TOKENS / tokens.max(1)) as u32);
-        let mut list = self.table.shortlist(now, &query, number, 2);
-        if let Some(first) = list.first() {
+    fn ask_two(&self, now: TimePoint, key: u64, tokens: u64, reports: &ReportLog) -> usize {
+        let query = RouteQuery::new("model").slots((KV_CAPACITY_TOKENS / tokens.max(1)) as u32);
+        let mut shortlist = self.table.shortlist(now, &query, key, 2);
+        if let Some(first) = shortlist.first() {
             let zone = ZoneName::clone(&first.zone);
-            list.extend(self.table.shortlist(now, &query.avoid_zone(&zone), number, 2));
+            shortlist.extend(self.table.shortlist(now, &query.avoid_zone(&zone), key, 2));
         }
-        let asked: Vec<EngineCandidate> = list
+        let candidates: Vec<EngineCandidate> = shortlist
             .into_iter()
             .map(|record| {
-                let engine = index(&record.id);
+                let engine = engine_index(&record.id);
                 EngineCandidate { report: reports.report(engine, now), record, held_tokens: 0 }
             })
             .collect();
-        let chosen = choose_engine(&asked, tokens).or(asked.first());
-        chosen.map_or(0, |candidate| index(&candidate.record.id))
+        let chosen = choose_engine(&candidates, tokens).or(candidates.first());
+        chosen.map_or(0, |candidate| engine_index(&candidate.record.id))
     }
 
-    fn open(&self, engine: usize) -> u32 {
+    fn open_requests(&self, engine: usize) -> u32 {
         self.table.get(&engine.to_string()).map_or(0, |record| record.open)
     }
 }
 
-fn index(id: &EndpointId) -> usize {
+fn engine_index(id: &EndpointId) -> usize {
     id.parse().unwrap_or_default()
 }
 
--- a/crates/hollyhook_command/src/load/placement/mod.rs
+++ b/crates/hollyhook_command/src/load/placement/mod.rs
@@ -1,4 +1,5 @@
-//! How placement policies do, in virtual time on a model of the engines, with the decisions that the gateway makes.
+//! Simulation of placement policies in virtual time on a model of the engines; the policy `ask-two` runs the gateway's
+//! own decision code.
 
 mod engine_model;
 mod fleet_model;
--- a/crates/hollyhook_command/src/load/placement/placement_plot.rs
+++ b/crates/hollyhook_command/src/load/placement/placement_plot.rs
@@ -6,18 +6,20 @@
 
 use super::placement_run::PlacementRow;
 
-/// Pixels of the whole drawing.
+/// Width and height of the drawing in pixels.
 const SIZE: (u32, u32) = (900, 420);
-/// Pixels around each of its halves, and for the words on its axes.
+/// Margin around each half of the drawing in pixels.
 const MARGIN: u32 = 12;
+/// Space for the labels of an axis in pixels.
 const LABEL_AREA: u32 = 44;
 const FONT: (&str, u32) = ("sans-serif", 16);
 
-/// Draws the share of generations in time over the load, a line a policy: calm on the left, with losses on the right.
+/// Plots the share of generations that met their latency objectives against the load, one line per policy: without
+/// faults on the left, with zone crashes on the right.
 ///
 /// # Errors
 ///
-/// If the file can't be written.
+/// Returns an error if the file can't be written.
 pub(super) fn draw_rows(path: &Path, rows: &[PlacementRow]) -> Result<()> {
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     let failed = |error: &dyn std::fmt::Display| eyre!("can't draw `{}`: {error}", path.display());
@@ -30,13 +32,13 @@
 }
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
-type DrawFault<'a> = DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>;
+type DrawError<'a> = DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>;
 
 fn draw_half<'r, 'a>(
     area: &Area<'a>,
     has_losses: bool,
     rows: impl Iterator<Item = &'r PlacementRow>,
-) -> Result<(), DrawFault<'a>> {
+) -> Result<(), DrawError<'a>> {
     let mut lines: BTreeMap<&str, Vec<(u64, f64)>> = BTreeMap::new();
     for row in rows {
         lines.entry(&row.policy).or_default().push((row.load, row.in_time_percent));
--- a/crates/hollyhook_command/src/load/placement/placement_run.rs
+++ b/crates/hollyhook_command/src/load/placement/placement_run.rs
@@ -6,39 +6,40 @@
 use eyre::Result;
 use serde::Serialize;
 
-use super::fleet_model::{FleetOutcome, FleetPlan, play};
+use super::fleet_model::{FleetOutcome, FleetScenario, simulate};
 use super::host_model::PlacementPolicy;
 use super::placement_plot::draw_rows;
 
-/// Generations a second that an engine can take: the time to read a prompt and what decoding adds to it.
+/// Generations per second that an engine sustains, given the time to read a prompt and the time that decoding adds.
 const ENGINE_RATE: f64 = 0.75;
 
-/// What to play.
+/// Arguments of `hollyhook load placement`.
 #[derive(Debug, Args)]
 pub(crate) struct PlacementArgs {
-    /// Engines of the model.
+    /// Number of engines.
     #[arg(long, default_value_t = 36, value_parser = clap::value_parser!(u64).range(1..=10_000))]
     engines: u64,
-    /// Availability zones.
+    /// Number of availability zones.
     #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u64).range(1..=100))]
     zones: u64,
-    /// Loads, in percent of what the engines can take.
+    /// Loads to simulate, in percent of the engines' capacity.
     #[arg(long, value_delimiter = ',', default_values_t = [30, 60, 90, 120, 200])]
     loads: Vec<u64>,
-    /// Seconds of arrivals.
+    /// Seconds during which generations arrive.
     #[arg(long, default_value_t = 40, value_parser = clap::value_parser!(u64).range(1..=3_600))]
     seconds: u64,
-    /// The random numbers; the same seed gives the same table.
+    /// Seed of the random numbers; the same seed gives the same table.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Print one JSON object a row.
+    /// Print one JSON object per row.
     #[arg(long)]
     json: bool,
-    /// Also draw the share of generations in time over the load, as an SVG file.
+    /// Also plot the share of generations that met their latency objectives against the load, as an SVG file.
     #[arg(long, value_name = "FILE")]
     plot: Option<PathBuf>,
 }
 
+/// Results of one simulation.
 #[derive(Debug, Serialize)]
 pub(super) struct PlacementRow {
     pub(super) load: u64,
@@ -52,13 +53,13 @@
     read_again_ktokens: u64,
 }
 
-/// Plays each load with each policy, calm and with zones that crash in turn, and prints a table.
+/// Simulates each load with each policy, without faults and with zones that crash in turn, and prints a table.
 pub(crate) fn run_placement(args: &PlacementArgs) -> Result<ExitCode> {
     let mut rows = Vec::new();
     for load in &args.loads {
         for has_losses in [false, true] {
             for policy in PlacementPolicy::value_variants() {
-                let plan = FleetPlan {
+                let scenario = FleetScenario {
                     policy: *policy,
                     engines: args.engines as usize,
                     zones: args.zones as usize,
@@ -67,7 +68,7 @@
                     has_losses,
                     seed: args.seed,
                 };
-                rows.push(row(&plan, *load, play(plan)));
+                rows.push(row(&scenario, *load, simulate(scenario)));
             }
         }
     }
@@ -84,27 +85,27 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn row(plan: &FleetPlan, load: u64, mut outcome: FleetOutcome) -> PlacementRow {
+fn row(scenario: &FleetScenario, load: u64, mut outcome: FleetOutcome) -> PlacementRow {
     outcome.first_us.sort_unstable();
-    outcome.gaps_us.sort_unstable();
-    let policy = plan.policy.to_possible_value().map(|value| value.get_name().to_owned());
+    outcome.longest_gaps_us.sort_unstable();
+    let policy = scenario.policy.to_possible_value().map(|value| value.get_name().to_owned());
     PlacementRow {
         load,
-        losses: plan.has_losses,
+        losses: scenario.has_losses,
         policy: policy.unwrap_or_default(),
-        in_time_percent: 100.0 * outcome.in_time as f64 / outcome.all.max(1) as f64,
+        in_time_percent: 100.0 * outcome.in_time as f64 / outcome.total.max(1) as f64,
         first_p50_ms: quantile(&outcome.first_us, 0.5),
         first_p99_ms: quantile(&outcome.first_us, 0.99),
-        gap_p50_ms: quantile(&outcome.gaps_us, 0.5),
-        gap_p99_ms: quantile(&outcome.gaps_us, 0.99),
-        read_again_ktokens: outcome.read_again / 1_000,
+        gap_p50_ms: quantile(&outcome.longest_gaps_us, 0.5),
+        gap_p99_ms: quantile(&outcome.longest_gaps_us, 0.99),
+        read_again_ktokens: outcome.reread_tokens / 1_000,
     }
 }
 
-/// A quantile of sorted microseconds, in milliseconds.
-fn quantile(sorted: &[u64], share: f64) -> u64 {
+/// Quantile of sorted times in microseconds, returned in milliseconds.
+fn quantile(sorted: &[u64], fraction: f64) -> u64 {
     let last = sorted.len().saturating_sub(1);
-    let index = (last as f64 * share).round() as usize;
+    let index = (last as f64 * fraction).round() as usize;
     sorted.get(index).copied().unwrap_or_default() / 1_000
 }
 
--- a/crates/hollyhook_command/src/load/placement/report_log.rs
+++ b/crates/hollyhook_command/src/load/placement/report_log.rs
@@ -3,14 +3,14 @@
 
 use hollyhook_core::{EngineReport, TimePoint};
 
-use super::engine_model::MEMORY_TOKENS;
+use super::engine_model::KV_CAPACITY_TOKENS;
 
-/// How old reports are when they arrive.
+/// Age of a report when it arrives at a host.
 const REPORT_LAG: Duration = Duration::from_millis(200);
-/// Reports that are kept of an engine: at one in 50 ms, twice as far back as the lag.
+/// Reports kept per engine: with one every 50 ms, they reach back twice as far as `REPORT_LAG`.
 const KEPT_REPORTS: usize = 8;
 
-/// What engines reported, and which are up.
+/// Recent load reports of the engines, and until when each engine is down.
 #[derive(Debug)]
 pub(super) struct ReportLog {
     reports: Vec<VecDeque<(u64, EngineReport)>>,
@@ -31,8 +31,8 @@
         self.down_until[engine] = until_us;
     }
 
-    /// Notes what an engine would report.
-    pub(super) fn note(&mut self, engine: usize, now_us: u64, report: EngineReport) {
+    /// Records the report that an engine would send at `now_us`.
+    pub(super) fn record(&mut self, engine: usize, now_us: u64, report: EngineReport) {
         let reports = &mut self.reports[engine];
         reports.push_back((now_us, report));
         if reports.len() > KEPT_REPORTS {
@@ -44,12 +44,13 @@
         self.down_until[engine] <= self.now_us
     }
 
-    /// The report that would arrive now; none of an engine that is down.
+    /// The report that would arrive at a host at `now`: the newest one of at least `REPORT_LAG` ago, or an empty report if
+    /// there is none. Returns `None` if the engine is down.
     pub(super) fn report(&self, engine: usize, now: TimePoint) -> Option<EngineReport> {
-        let at = now.as_micros().saturating_sub(REPORT_LAG.as_micros() as u64);
-        let known = self.reports[engine].iter().rev().find(|(made, _)| *made <= at);
+        let latest_us = now.as_micros().saturating_sub(REPORT_LAG.as_micros() as u64);
+        let known = self.reports[engine].iter().rev().find(|(recorded_us, _)| *recorded_us <= latest_us);
         let report = known.map(|(_, report)| report.clone()).unwrap_or_default();
-        let report = EngineReport { total_tokens: MEMORY_TOKENS, ..report };
+        let report = EngineReport { total_tokens: KV_CAPACITY_TOKENS, ..report };
         self.is_up(engine).then_some(report)
     }
 }
--- a/crates/hollyhook_command/src/load/sample_set.rs
+++ b/crates/hollyhook_command/src/load/sample_set.rs
@@ -2,10 +2,10 @@
 
 use hdrhistogram::Histogram;
 
-/// The longest time that is told apart, in microseconds.
+/// Longest duration recorded, in microseconds; a longer one counts as this one.
 const MAX_MICROS: u64 = 600_000_000;
 
-/// Times of one kind, for their quantiles.
+/// Durations of one kind, from which quantiles are computed.
 #[derive(Debug, Clone)]
 pub(crate) struct SampleSet {
     histogram: Histogram<u64>,
@@ -19,11 +19,11 @@
 }
 
 impl SampleSet {
-    pub(crate) fn add(&mut self, span: Duration) {
-        self.histogram.saturating_record((span.as_micros() as u64).max(1));
+    pub(crate) fn add(&mut self, duration: Duration) {
+        self.histogram.saturating_record((duration.as_micros() as u64).max(1));
     }
 
-    pub(crate) fn join(&mut self, other: &Self) {
+    pub(crate) fn merge(&mut self, other: &Self) {
         self.histogram += &other.histogram;
     }
 
--- a/crates/hollyhook_command/src/load/slopes.rs
+++ b/crates/hollyhook_command/src/load/slopes.rs
@@ -18,18 +18,18 @@
 
 use crate::fixture::{FleetOptions, LocalFleet};
 
-/// How the slopes are measured.
+/// Arguments of `hollyhook load slopes`.
 #[derive(Debug, Args)]
 pub(crate) struct SlopeArgs {
-    /// Runs of each; the least, the middle and the largest are shown.
+    /// Runs of each measurement; the least, the middle and the largest value are shown.
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u32).range(1..=100))]
     runs: u32,
-    /// Print one JSON object a row.
+    /// Print one JSON object per row.
     #[arg(long)]
     json: bool,
 }
 
-/// What one more of something costs.
+/// Cost of one more unit of something, such as a token, an endpoint or an account.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 struct SlopeRow {
     slope: &'static str,
@@ -62,7 +62,7 @@
     ("peer.report", "us of processor", peer_report),
 ];
 
-/// Measures every slope and prints a row each.
+/// Measures every slope and prints one row for each.
 pub(crate) fn run_slopes(args: &SlopeArgs) -> Result<ExitCode> {
     if !args.json {
         println!("{:>28} {:>16} {:>12} {:>12} {:>12}", "slope", "unit", "least", "middle", "most");
@@ -81,37 +81,37 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Nanoseconds of one of `count` rounds.
-fn nanos(count: u32, mut round: impl FnMut(u32)) -> f64 {
+/// Mean time of a round in nanoseconds, over `count` rounds.
+fn nanos_per_round(count: u32, mut round: impl FnMut(u32)) -> f64 {
     let begin = Instant::now();
     (0..count).for_each(&mut round);
     begin.elapsed().as_secs_f64() * 1e9 / f64::from(count)
 }
 
-/// Bytes that the process grew by for one of `count` things.
-fn growth<T>(count: u32, make: impl Fn(u32) -> T) -> Result<f64> {
-    let before = resident()?;
-    let things: Vec<T> = (0..count).map(make).collect();
-    let after = resident()?;
-    // Kept, so that the next run can't be given the same memory again.
-    std::mem::forget(black_box(things));
+/// Growth of the process's resident_bytes memory in bytes per value, when `count` values are made.
+fn growth_per_value<T>(count: u32, make: impl Fn(u32) -> T) -> Result<f64> {
+    let before = resident_bytes()?;
+    let values: Vec<T> = (0..count).map(make).collect();
+    let after = resident_bytes()?;
+    // Leaked on purpose: the next run could reuse freed memory and would then show no growth.
+    std::mem::forget(black_box(values));
     Ok(after.saturating_sub(before) as f64 / f64::from(count))
 }
 
-fn resident() -> Result<u64> {
-    const PAGE: u64 = 4_096;
+fn resident_bytes() -> Result<u64> {
+    const PAGE_BYTES: u64 = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm")?;
     let pages: u64 = text.split_whitespace().nth(1).ok_or_eyre("/proc/self/statm has no second field")?.parse()?;
-    Ok(pages * PAGE)
+    Ok(pages * PAGE_BYTES)
 }
 
-/// Processor time of this process so far.
-fn processor() -> Result<Duration> {
-    const TICK: Duration = Duration::from_millis(10);
+/// Processor time that this process has used so far.
+fn processor_time() -> Result<Duration> {
+    const CLOCK_TICK: Duration = Duration::from_millis(10);
     let text = std::fs::read_to_string("/proc/self/stat")?;
     let (_, fields) = text.rsplit_once(')').ok_or_eyre("/proc/self/stat has no command")?;
     let times: Vec<u32> = fields.split_whitespace().skip(11).take(2).map(str::parse).collect::<Result<_, _>>()?;
-    Ok(TICK * times.iter().sum())
+    Ok(CLOCK_TICK * times.iter().sum())
 }
 
 fn running_relay() -> GenerationRelay {
@@ -130,11 +130,11 @@
 
 fn relay_token() -> f64 {
     let mut relay = running_relay();
-    nanos(100_000, |position| feed_token(&mut relay, position))
+    nanos_per_round(100_000, |position| feed_token(&mut relay, position))
 }
 
 fn relay_generation() -> Result<f64> {
-    growth(10_000, |_| {
+    growth_per_value(10_000, |_| {
         let mut relay = running_relay();
         (0..250).for_each(|position| feed_token(&mut relay, position));
         relay
@@ -159,25 +159,25 @@
 
 fn cursor_seal() -> f64 {
     let (seal, cursor, mut rng) = (seal(), cursor(), rand::rng());
-    nanos(50_000, |_| drop(black_box(seal.seal("head-office", &cursor, &mut rng))))
+    nanos_per_round(50_000, |_| drop(black_box(seal.seal("head-office", &cursor, &mut rng))))
 }
 
 fn cursor_open() -> f64 {
     let seal = seal();
     let text = seal.seal("head-office", &cursor(), &mut rand::rng());
-    nanos(50_000, |_| drop(black_box(seal.open("head-office", &text, 7))))
+    nanos_per_round(50_000, |_| drop(black_box(seal.open("head-office", &text, 7))))
 }
 
 fn stream_write() -> f64 {
     let writer = StreamWriter::new(ApiStyle::Chat, GenerationId::from_bits(7), &"tutoring".into(), 7);
     let text = seal().seal("head-office", &cursor(), &mut rand::rng());
-    nanos(50_000, |_| drop(black_box(writer.token("bodipe ", &text))))
+    nanos_per_round(50_000, |_| drop(black_box(writer.token("bodipe ", &text))))
 }
 
 fn stream_parse() -> f64 {
     let event = b"id: 17\ndata: {\"choices\":[{\"index\":0,\"text\":\"bodipe \",\"finish_reason\":null}]}\n\n";
     let mut parser = SseParser::default();
-    nanos(50_000, |_| {
+    nanos_per_round(50_000, |_| {
         parser.feed(event);
         let event = parser.next_event().unwrap_or_default();
         let _parsed = black_box(serde_json::from_str::<hollyhook_wire::EngineChunk<'_>>(&event.data));
@@ -204,12 +204,12 @@
     let binding = ModelBinding::new("tutoring", "2026-11");
     let query = RouteQuery::new("tutoring").binding(&binding);
     let mut rng = rand::rng();
-    nanos(1_000, |_| drop(black_box(table.choose(TimePoint::ZERO, &query, &mut rng))))
+    nanos_per_round(1_000, |_| drop(black_box(table.choose(TimePoint::ZERO, &query, &mut rng))))
 }
 
 fn route_endpoint() -> Result<f64> {
     const COUNT: u32 = 50_000;
-    Ok(growth(1, |_| table(COUNT))? / f64::from(COUNT))
+    Ok(growth_per_value(1, |_| table(COUNT))? / f64::from(COUNT))
 }
 
 fn site(accounts: u32, endpoints: u32) -> Result<SiteSettings> {
@@ -231,14 +231,14 @@
 fn account_settings() -> Result<f64> {
     const COUNT: u32 = 1_200;
     const SITES: u32 = 10;
-    let sites = growth(SITES, |_| site(COUNT, 0))?;
+    let sites = growth_per_value(SITES, |_| site(COUNT, 0))?;
     Ok(sites / f64::from(COUNT))
 }
 
 fn account_lookup() -> Result<f64> {
     let site = site(1_200, 0)?;
     let digests: Vec<Name> = (0..1_200).map(|number: u32| key_digest(&number.to_string())).collect();
-    Ok(nanos(12_000, |round| {
+    Ok(nanos_per_round(12_000, |round| {
         black_box(site.account_of_key(&digests[round as usize % digests.len()]));
     }))
 }
@@ -252,7 +252,7 @@
         MetricMeasure::QueueWait,
         MetricMeasure::PlainCall,
     ];
-    let board = growth(1, |_| {
+    let board = growth_per_value(1, |_| {
         let board = MetricBoard::default();
         for number in 0..COUNT {
             let account = Name::from(format!("account-{number}"));
@@ -269,7 +269,7 @@
     let board = MetricBoard::default();
     let account = Name::from("head-office");
     let samples = [Duration::from_millis(20); 64];
-    nanos(2_000, |_| board.record(MetricMeasure::BetweenTokens, &account, "long", &samples))
+    nanos_per_round(2_000, |_| board.record(MetricMeasure::BetweenTokens, &account, "long", &samples))
 }
 
 fn claim(number: u32) -> ClaimRecord {
@@ -285,13 +285,13 @@
 fn claim_apply() -> f64 {
     let mut shard = ClaimShard::new(ClaimPolicy::default());
     let mut version = 0;
-    let mut order = |number: u32| {
+    let mut submit = |number: u32| {
         shard.on(1_000, ClaimEvent::Submitted(ClaimCommand::Claim(claim(number))));
         version += 1;
         shard.on(1_000, ClaimEvent::Written { version });
     };
-    (0..1_900).for_each(&mut order);
-    nanos(90, |number| order(1_900 + number)) / 1_000.0
+    (0..1_900).for_each(&mut submit);
+    nanos_per_round(90, |number| submit(1_900 + number)) / 1_000.0
 }
 
 fn settings_check() -> Result<f64> {
@@ -301,31 +301,32 @@
     Ok(begin.elapsed().as_secs_f64() * 1e6 / f64::from(COUNT))
 }
 
-/// Both ends run in this process, so a daemon's part is below this.
+/// Processor time of a load report in microseconds. Client and engine both run in this process, so a daemon's share is
+/// lower.
 fn poll_load() -> Result<f64> {
     const COUNT: u32 = 2_000;
     block_on(async {
         let fleet = LocalFleet::start(&FleetOptions::new(1)).await?;
         let client = EngineClient::new(Duration::from_secs(1));
         let address = fleet.engines[0].address();
-        let before = processor()?;
+        let before = processor_time()?;
         for _ in 0..COUNT {
             client.load(address, Duration::from_secs(1)).await?;
         }
-        Ok(processor()?.saturating_sub(before).as_secs_f64() * 1e6 / f64::from(COUNT))
+        Ok(processor_time()?.saturating_sub(before).as_secs_f64() * 1e6 / f64::from(COUNT))
     })
 }
 
-/// Both ends run in this process, so a daemon's part is below this.
+/// Processor time of a report to a peer in microseconds. Both ends run in this process, so a daemon's share is lower.
 fn peer_report() -> Result<f64> {
     const COUNT: u32 = 4_000;
     block_on(async {
         let fleet = LocalFleet::start(&FleetOptions::new(1)).await?;
         let client = connect_peer(fleet.daemons[0].peer_address(), Duration::from_secs(1)).await?;
-        let before = processor()?;
+        let before = processor_time()?;
         for _ in 0..COUNT {
             client.report(tarpc::context::current()).await?;
         }
-        Ok(processor()?.saturating_sub(before).as_secs_f64() * 1e6 / f64::from(COUNT))
+        Ok(processor_time()?.saturating_sub(before).as_secs_f64() * 1e6 / f64::from(COUNT))
     })
 }
