--- a/crates/hollyhook/src/bin/hollyhookd.rs
+++ b/crates/hollyhook/src/bin/hollyhookd.rs
@@ -21,25 +21,25 @@
 #[derive(Debug, Parser)]
 #[command(name = "hollyhookd", version, about)]
 struct DaemonArgs {
-    /// The settings of this process.
+    /// Settings file of this process.
     #[arg(long)]
     settings: PathBuf,
-    /// Check all settings and end.
+    /// Check all settings and exit.
     #[arg(long)]
     check: bool,
 }
 
-/// Threads of a gateway: its hosts have one core at most.
+/// Number of threads of a gateway: its hosts have one core at most.
 const GATEWAY_THREADS: usize = 1;
 
-/// How often the settings are read again: they may change without a signal.
+/// Interval at which a gateway reads its settings file again, since the file may change without a SIGHUP.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What the settings make of this process.
+/// Role of this process, as given by its settings.
 enum DaemonRole {
-    /// A daemon with a site of its own.
+    /// A daemon that reads the site's configuration from files.
     Daemon(Box<ProcessSettings>, Box<SiteSettings>),
-    /// A daemon whose site lies in the platform's store.
+    /// A daemon that reads the site's configuration from the platform's store.
     Gateway(Box<GatewaySettings>),
 }
 
@@ -54,15 +54,15 @@
     };
     match role {
         DaemonRole::Daemon(process, site) if args.check => {
-            println!("host {} of site {}: the settings are right", process.host, site.name);
+            println!("host {} of site {}: the settings are valid", process.host, site.name);
             Ok(ExitCode::SUCCESS)
         }
         DaemonRole::Gateway(settings) if args.check => {
-            println!("host {}, a gateway of the store at {}: the settings are right", settings.host, settings.store);
+            println!("host {}, a gateway of the store at {}: the settings are valid", settings.host, settings.store);
             Ok(ExitCode::SUCCESS)
         }
         DaemonRole::Daemon(process, site) => {
-            // The standard output tells the addresses that port 0 became.
+            // Logs go to the standard error, since the addresses bound for port 0 are printed on the standard output.
             let _log = init_log(LogTarget::Stderr, process.log_format, &process.log_level)?;
             run(process.threads, serve(*process, *site))
         }
@@ -74,7 +74,7 @@
 }
 
 fn run(threads: usize, work: impl Future<Output = eyre::Result<ExitCode>>) -> eyre::Result<ExitCode> {
-    // async-std takes the executor that is there when it starts.
+    // async-std uses a global executor that was initialized before it starts, so the number of threads is set first.
     let config = GlobalExecutorConfig::default().with_min_threads(threads).with_max_threads(threads);
     async_global_executor::init_with_config(config);
     async_std::task::block_on(work)
@@ -84,23 +84,24 @@
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
     let gateway = Gateway::start(&settings)?;
     loop {
-        let pause = std::pin::pin!(async_std::task::sleep(RELOAD_INTERVAL));
-        match select(signals.next(), pause).await {
+        let reload_timer = std::pin::pin!(async_std::task::sleep(RELOAD_INTERVAL));
+        match select(signals.next(), reload_timer).await {
             Either::Left((Some(Ok(Signal::Hup)), _)) | Either::Right(_) => {
                 reload(&gateway, &path, &mut settings);
-                tell_left_out(&log);
+                log_unwritten_lines(&log);
             }
             Either::Left(_) => break,
         }
     }
     let is_whole = gateway.drain().await;
-    // What could not end in time is cut off as the bounds allow; the process itself ended in order.
+    // The bounds permit a drain to cut off requests that don't end in time, so the exit code is success either way.
     tracing::info!(is_whole, "process.ended");
     Ok(ExitCode::SUCCESS)
 }
 
-/// Tells which log lines were not written since the last time.
-fn tell_left_out(log: &LogGuard) {
+/// Logs how many log lines were left out since the last call, by their place in the code, and how many were dropped
+/// since the start.
+fn log_unwritten_lines(log: &LogGuard) {
     for (kind, lines) in log.volume.take_left_out() {
         tracing::warn!(kind = %kind, lines, "log.left_out");
     }
@@ -109,7 +110,8 @@
     }
 }
 
-/// Reads the settings again and takes them in if they changed and are right; else the old ones stay.
+/// Reads the settings file again and passes the settings to the gateway if they changed and are valid. Otherwise the
+/// gateway keeps the old ones.
 fn reload(gateway: &Gateway, path: &Path, settings: &mut GatewaySettings) {
     match GatewaySettings::load(path) {
         Ok(new) if new == *settings => {}
@@ -127,7 +129,7 @@
     println!("listening={}", daemon.address());
     println!("peer_listening={}", daemon.peer_address());
     signals.next().await;
-    // A second signal is the operator's choice to cut what is left.
+    // A second signal ends the drain: the requests still running are cut off.
     let drain = std::pin::pin!(daemon.drain());
     match select(drain, signals.next()).await {
         Either::Left((true, _)) => Ok(ExitCode::SUCCESS),
--- a/crates/hollyhook_command/src/args/command_args.rs
+++ b/crates/hollyhook_command/src/args/command_args.rs
@@ -22,39 +22,39 @@
 enum CommandKind {
     /// Stream a generation through a small fleet in this process, and kill its engine midway.
     Demo(DemoArgs),
-    /// Check a base file with the overlay of a site, and show every error.
+    /// Check the settings in a base file and the overlay of a site, and show every error.
     Check {
-        /// The base file for all sites.
+        /// Base file that all sites share.
         base: PathBuf,
-        /// The overlay of a site.
+        /// Overlay file of the site.
         #[arg(long)]
         overlay: PathBuf,
     },
-    /// Make an API key for a client account, or a cursor key for the hosts.
+    /// Generate an API key for a client account, or a cursor key for the hosts.
     Key {
-        /// Make a cursor key instead.
+        /// Generate a cursor key instead of an API key.
         #[arg(long)]
         cursor: bool,
     },
-    /// Show what a running daemon does.
+    /// Show the status of a running daemon.
     Status(StatusArgs),
-    /// Tell what happened to one request, step by step, from the daemon's trace of it.
+    /// Show what happened to a request, step by step, from the daemon's trace of it.
     Explain(ExplainArgs),
-    /// Tell what happened to one request from the logs of many gateways.
+    /// Show what happened to a request, from the logs of many gateways.
     Trace(TraceArgs),
-    /// Replay recorded traces and compare with the outcomes that they state.
+    /// Replay recorded traces and compare the results with the outcomes that the traces expect.
     Replay(ReplayArgs),
-    /// Measure what the daemon costs and how it does through failures.
+    /// Measure the daemon's overhead and its behaviour during failures.
     Load(LoadArgs),
-    /// Run a stand-in of an outside system as this process.
+    /// Run a stand-in for an external system in this process.
     StandIn(StandInArgs),
 }
 
-/// Runs the command and says how it ended.
+/// Runs the command and returns the exit code of the process.
 ///
 /// # Errors
 ///
-/// What a person has to know to make it work.
+/// Returns an error if the command can't be carried out, with the cause as a text for the operator.
 pub async fn run_command(args: CommandArgs) -> Result<ExitCode> {
     match args.command {
         CommandKind::Demo(args) => run_demo(args).await,
--- a/crates/hollyhook_command/src/args/mod.rs
+++ b/crates/hollyhook_command/src/args/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments and their dispatch.
 
 mod command_args;
 
--- a/crates/hollyhook_command/src/demo/demo_run.rs
+++ b/crates/hollyhook_command/src/demo/demo_run.rs
@@ -11,63 +11,64 @@
 
 use crate::fixture::{FleetOptions, LocalFleet};
 
-/// Engines that are left when all kills are done.
+/// Engines that remain after all kills.
 const SPARE_ENGINES: usize = 3;
+/// Duration of an engine's decode step.
 const STEP: Duration = Duration::from_millis(20);
 
-/// What the demo does.
+/// Arguments of `hollyhook demo`.
 #[derive(Debug, Args)]
 pub(crate) struct DemoArgs {
-    /// Chooses the prompt.
+    /// Number in the prompt, which selects the generated tokens.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Tokens to generate.
     #[arg(long, default_value_t = 120, value_parser = clap::value_parser!(u64).range(2..=20_000))]
     tokens: u64,
-    /// Engines to kill while they generate.
+    /// Number of engines to kill, each while it generates.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(0..=8))]
     kills: u64,
     /// Print one JSON object as the last line.
     #[arg(long)]
     json: bool,
-    /// Leave everything running until interrupted.
+    /// Keep the fleet running until interrupted.
     #[arg(long)]
     hold: bool,
 }
 
-/// How the demo went.
+/// Outcome of the demo.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 struct DemoOutcome {
-    /// Whether every token came once, in order and from one generation.
+    /// Whether every token arrived exactly once, in order and from one generation.
     whole: bool,
-    /// Tokens received.
+    /// Number of tokens received.
     tokens: u64,
-    /// Engines killed.
+    /// Number of kills after which a token arrived.
     kills: u64,
-    /// The longest time from a kill to the next token, in milliseconds.
+    /// Longest time from a kill to the next token, in milliseconds.
     resume_latency_ms: f64,
-    /// Engine work over that of an undisturbed run, less one.
+    /// Engine work divided by that of an undisturbed run, minus one.
     extra_work_ratio: f64,
-    /// The seed.
+    /// Seed of the prompt.
     seed: u64,
 }
 
-/// Runs the demo; succeeds only if the answer was whole.
+/// Runs the demo; exits with success only if the answer was complete.
 pub(crate) async fn run_demo(args: DemoArgs) -> Result<ExitCode> {
     let engines = args.kills as usize + SPARE_ENGINES;
     let fleet = LocalFleet::start(&FleetOptions::new(engines).step(STEP)).await?;
     println!("A fleet in this process: {engines} engines, a plain service, a platform, 2 daemons in 2 zones.");
-    println!("A generation of {} tokens; {} engine(s) will be killed while it streams.\n", args.tokens, args.kills);
+    println!("A generation of {} tokens; {} engine(s) will be killed during the stream.\n", args.tokens, args.kills);
     let prompt = prompt(args.seed);
     let (received, latencies) = stream_with_kills(&fleet, &args, &prompt).await?;
-    let outcome = judge(&fleet, &args, &prompt, &received, &latencies);
+    let outcome = demo_outcome(&fleet, &args, &prompt, &received, &latencies);
     println!("\n");
     print_summary(&outcome);
     if args.json {
         println!("{}", serde_json::to_string(&outcome)?);
     }
     if args.hold {
-        print_flow(&fleet, &prompt);
+        print_instructions(&fleet, &prompt);
         return pending().await;
     }
     Ok(if outcome.whole { ExitCode::SUCCESS } else { ExitCode::FAILURE })
@@ -93,22 +94,22 @@
         std::io::stdout().flush()?;
         received.push(text);
         let kills = latencies.len() as u64;
-        let due = args.tokens * (kills + 1) / (args.kills + 1);
-        if kills < args.kills && received.len() as u64 == due {
-            killed_at = kill_busy(fleet);
+        let kill_position = args.tokens * (kills + 1) / (args.kills + 1);
+        if kills < args.kills && received.len() as u64 == kill_position {
+            killed_at = kill_busy_engine(fleet);
         }
     }
     Ok((received, latencies))
 }
 
-fn kill_busy(fleet: &LocalFleet) -> Option<Instant> {
+fn kill_busy_engine(fleet: &LocalFleet) -> Option<Instant> {
     let number = fleet.busy_engine()?;
     fleet.engines[number].suffer(FaultOrder { kind: FaultKind::Die, millis: 0, count: 0 });
     print!("\n[engine-{number} killed]\n");
     Some(Instant::now())
 }
 
-/// The next token; none behind the mark of a whole answer.
+/// The next token; `None` after the event that marks a complete answer.
 async fn next_token(stream: &mut CallerStream) -> Result<Option<String>> {
     loop {
         match stream.next().await? {
@@ -120,7 +121,7 @@
     }
 }
 
-fn judge(
+fn demo_outcome(
     fleet: &LocalFleet,
     args: &DemoArgs,
     prompt: &str,
@@ -142,16 +143,16 @@
 }
 
 fn print_summary(outcome: &DemoOutcome) {
-    let verdict = if outcome.whole { "whole: every token once, in order" } else { "NOT WHOLE" };
+    let verdict = if outcome.whole { "complete: every token once, in order" } else { "NOT COMPLETE, OR NOT IN ORDER" };
     println!("{} tokens, {} kill(s): the answer is {verdict}.", outcome.tokens, outcome.kills);
     println!(
-        "The longest wait after a kill was {:.0} ms; the engines did {:.1} % more work than undisturbed.",
+        "The longest wait after a kill was {:.0} ms; the engines did {:.1} % more work than without kills.",
         outcome.resume_latency_ms,
         outcome.extra_work_ratio * 100.0
     );
 }
 
-fn print_flow(fleet: &LocalFleet, prompt: &str) {
+fn print_instructions(fleet: &LocalFleet, prompt: &str) {
     println!("base_url=http://{}/v1", fleet.daemons[0].address());
     println!("api_key={}", fleet.key);
     println!("other_host=http://{}/v1", fleet.daemons[1].address());
@@ -170,7 +171,7 @@
         fleet.key,
         completion_body("tutor-7b", prompt, 500, true)
     );
-    println!("and, while it streams, one of these for the engine that decodes:");
+    println!("and, while it streams, inject a fault into the engine that decodes:");
     println!("  curl -d '{{\"kind\":\"die\"}}' FAULT_URL      (also: pause, wake, silence, cut, leave, return)");
-    println!("Interrupt to end.");
+    println!("Press Ctrl-C to end.");
 }
--- a/crates/hollyhook_command/src/demo/mod.rs
+++ b/crates/hollyhook_command/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! The main job on one machine: a generation goes on though its engines are killed.
+//! Demonstration on one machine: a generation continues although its engines are killed.
 
 mod demo_run;
 
--- a/crates/hollyhook_command/src/lib.rs
+++ b/crates/hollyhook_command/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operator's command: checks settings, shows a daemon's state, runs stand-ins, the demo and the load tool.
+//! The operator's command: checks settings, shows a daemon's state, and runs stand-ins, the demo and load experiments.
 
 mod args;
 mod demo;
--- a/crates/hollyhook_command/src/settings.rs
+++ b/crates/hollyhook_command/src/settings.rs
@@ -1,11 +1,11 @@
-//! Checking settings and making keys.
+//! Checks of the settings files and generation of keys.
 
 use std::path::Path;
 use std::process::ExitCode;
 
 use hollyhook_settings::{SiteSettings, key_digest};
 
-/// Checks a base and an overlay; prints every error.
+/// Checks a base file with an overlay file, and prints a summary of the site or every error.
 pub(crate) fn check_settings(base: &Path, overlay: &Path) -> ExitCode {
     match SiteSettings::load(base, overlay) {
         Ok(site) => {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Prints a new key, and for an API key the line for the settings.
+/// Prints a new cursor key as a line for the settings, or a new API key with the settings line of its digest.
 pub(crate) fn print_key(is_cursor: bool) {
     let (high, low): (u128, u128) = (rand::random(), rand::random());
     if is_cursor {
--- a/crates/hollyhook_command/src/stand_in.rs
+++ b/crates/hollyhook_command/src/stand_in.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of outside systems as processes of their own.
+//! Stand-ins for external systems, each run as a process of its own.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -12,7 +12,7 @@
     EngineOptions, EngineStandIn, PlatformOptions, PlatformStandIn, ServiceOptions, ServiceStandIn,
 };
 
-/// Which stand-in to run.
+/// Arguments of `hollyhook stand-in`: the stand-in to run.
 #[derive(Debug, Args)]
 pub(crate) struct StandInArgs {
     #[command(subcommand)]
@@ -25,13 +25,13 @@
     Engine(EngineArgs),
     /// A plain service.
     Service {
-        /// Where to listen; port 0 takes a free one.
+        /// Address to listen on; port 0 selects a free port.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
     },
     /// The platform's object API.
     Platform {
-        /// Where to listen; port 0 takes a free one.
+        /// Address to listen on; port 0 selects a free port.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
     },
@@ -39,33 +39,33 @@
 
 #[derive(Debug, Args)]
 struct EngineArgs {
-    /// Where to listen; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// The model's name.
+    /// Name of the model.
     #[arg(long, default_value = "tutor-7b")]
     model: String,
-    /// The version of the weights.
+    /// Version of the model's weights.
     #[arg(long, default_value = "1")]
     weights: String,
-    /// Milliseconds of a decode step, in which every running sequence gets a token.
+    /// Duration of a decode step in milliseconds; every running sequence gets a token per step.
     #[arg(long, default_value_t = 20)]
     step_ms: u64,
-    /// Microseconds to read a token of a prompt that is not cached.
+    /// Time to read a prompt token that is not cached, in microseconds.
     #[arg(long, default_value_t = 100)]
     prefill_us: u64,
-    /// Places in the batch.
+    /// Slots in the batch.
     #[arg(long, default_value_t = 64)]
     capacity: u32,
-    /// Milliseconds that a load report is late.
+    /// Age of a load report in milliseconds.
     #[arg(long, default_value_t = 500)]
     load_lag_ms: u64,
-    /// What the first token depends on, as different engines sample differently.
+    /// Salt of the first token; engines with different salts sample differently.
     #[arg(long, default_value_t = 0)]
     salt: u64,
 }
 
-/// Runs the stand-in until the process is ended; prints `listening=ADDRESS` when it serves.
+/// Runs a stand-in until the process is terminated; prints `listening=ADDRESS` once the stand-in serves requests.
 pub(crate) async fn run_stand_in(args: StandInArgs) -> Result<ExitCode> {
     let address = match args.kind {
         StandInKind::Engine(args) => EngineStandIn::start(args.listen, args.options())?.address(),
--- a/crates/hollyhook_command/src/view/status_view.rs
+++ b/crates/hollyhook_command/src/view/status_view.rs
@@ -10,22 +10,23 @@
 
 use super::print_text;
 
-/// Which daemon to ask, and how to show its answer.
+/// Arguments of `hollyhook status`.
 #[derive(Debug, Args)]
 pub(crate) struct StatusArgs {
-    /// Where the daemon serves other daemons (`peer_listen` in its settings).
+    /// Address at which the daemon serves other daemons (`peer_listen` in its settings).
     address: SocketAddr,
-    /// Print one JSON object.
+    /// Print the status as one JSON object.
     #[arg(long)]
     json: bool,
 }
 
-/// Asks a daemon for its status and prints it.
+/// Fetches a daemon's status and prints it.
 pub(crate) async fn run_status(args: StatusArgs) -> Result<ExitCode> {
-    const LIMIT: Duration = Duration::from_secs(2);
-    let client = connect_peer(args.address, LIMIT).await?;
-    let status = client.status(tarpc::context::current()).await.wrap_err("the daemon did not answer")?;
-    let status = status.ok_or_eyre("the daemon has no status to show")?;
+    const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+    let client = connect_peer(args.address, CONNECT_TIMEOUT).await?;
+    let status =
+        client.status(tarpc::context::current()).await.wrap_err("the daemon did not answer the status request")?;
+    let status = status.ok_or_eyre("the daemon returned no status")?;
     if args.json {
         print_text(&format!("{}\n", serde_json::to_string(&status)?))?;
     } else {
