--- a/crates/hollyhook/tests/processes/bad_input.rs
+++ b/crates/hollyhook/tests/processes/bad_input.rs
@@ -6,13 +6,13 @@
 use http_types::Method;
 use serde_json::{Value, json};
 
-use crate::fleet::{Fleet, FleetPlan, KEY, MODEL, Reading, assert_whole};
+use crate::fleet::{Fleet, FleetConfig, KEY, MODEL, StreamReader, assert_complete};
 
-/// Sends bytes as they are and reads the answer to its end.
-fn send_raw(address: SocketAddr, bytes: &[u8], ends: bool) -> String {
+/// Sends bytes unchanged, closes the sending side if `is_closing`, and reads the answer to its end.
+fn send_raw(address: SocketAddr, bytes: &[u8], is_closing: bool) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.write_all(bytes).unwrap();
-    if ends {
+    if is_closing {
         stream.shutdown(Shutdown::Write).unwrap();
     }
     let mut answer = Vec::new();
@@ -37,17 +37,18 @@
 }
 
 #[test]
-fn bad_input_refused_and_nobody_notices() {
-    let fleet = Fleet::start(&FleetPlan { limits: "read_timeout = 300 ms\nbody = 8 KiB", ..FleetPlan::default() });
+fn bad_input_refused_without_effect_on_another_stream() {
+    let fleet =
+        Fleet::start(&FleetConfig { limit_lines: "read_timeout = 300 ms\nbody = 8 KiB", ..FleetConfig::default() });
     let address = fleet.daemons[0].address;
     let path = "/v1/completions";
-    let other = std::thread::spawn({
+    let other_stream = std::thread::spawn({
         let client = fleet.client(0);
         move || {
             block_on(async {
-                let mut reading = Reading::open(&client, "a report meanwhile", 150, &[]).await;
-                reading.read_all().await;
-                assert_whole("a report meanwhile", &reading.tokens, 150);
+                let mut reader = StreamReader::open(&client, "a report meanwhile", 150, &[]).await;
+                reader.read_all().await;
+                assert_complete("a report meanwhile", &reader.tokens, 150);
             });
         }
     });
@@ -82,12 +83,12 @@
          content-length: 100\r\n\r\n{{\"model\""
     );
     assert_refused(&send_raw(address, half.as_bytes(), false), 408, "request_timeout");
-    other.join().unwrap();
+    other_stream.join().unwrap();
 }
 
 #[test]
 fn unsupported_fields_refused() {
-    let fleet = Fleet::start(&FleetPlan::default());
+    let fleet = Fleet::start(&FleetConfig::default());
     block_on(async {
         for (name, value) in [("n", json!(2)), ("tools", json!([{}])), ("logprobs", json!(true)), ("stream", json!(1))]
         {
@@ -101,7 +102,7 @@
 
 #[test]
 fn models_listed() {
-    let fleet = Fleet::start(&FleetPlan::default());
+    let fleet = Fleet::start(&FleetConfig::default());
     block_on(async {
         let answer = fleet.client(0).call(Method::Get, "/v1/models", None, &[]).await.unwrap();
         assert_eq!(answer.value["data"][0]["id"], MODEL);
--- a/crates/hollyhook/tests/processes/demo.rs
+++ b/crates/hollyhook/tests/processes/demo.rs
@@ -11,5 +11,5 @@
     let outcome: Value = serde_json::from_str(text.lines().last().unwrap()).unwrap();
     assert_eq!((&outcome["whole"], &outcome["tokens"], &outcome["kills"]), (&true.into(), &60.into(), &2.into()));
     assert!(outcome["resume_latency_ms"].as_f64() > Some(0.0));
-    assert!(outcome["extra_work_ratio"].as_f64() > Some(0.0), "a kill costs a prefill");
+    assert!(outcome["extra_work_ratio"].as_f64() > Some(0.0), "after a kill the prompt is read again");
 }
--- a/crates/hollyhook/tests/processes/docs.rs
+++ b/crates/hollyhook/tests/processes/docs.rs
@@ -4,11 +4,12 @@
 use hollyhook_core::{ErrorKind, RelayCounter, answer_for};
 use hollyhook_settings::{GatewaySettings, ProcessSettings, SettingErrors, SettingFile, SiteSettings};
 
-fn page(name: &str) -> String {
+fn read_page(name: &str) -> String {
     fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs").join(name)).unwrap()
 }
 
-/// The keys of each section, as the error for one that is far from all of them lists them.
+/// The valid keys of each section, from the errors for unknown keys: if a key resembles no valid one, its error lists all
+/// valid keys.
 fn keys(errors: &SettingErrors) -> Vec<String> {
     let lists = errors.0.iter().filter_map(|error| error.right.strip_prefix("the keys are "));
     lists.flat_map(|list| list.split(", ")).map(str::to_owned).collect()
@@ -16,10 +17,10 @@
 
 #[test]
 fn callers_page_has_every_error() {
-    let page = page("CALLERS.md");
+    let page = read_page("CALLERS.md");
     for kind in ErrorKind::ALL {
         let answer = answer_for(kind);
-        // These two are answers to an operator, not to a caller.
+        // These two errors are returned to operators only.
         if matches!(kind, ErrorKind::InvalidSetting | ErrorKind::Conflict) {
             continue;
         }
@@ -44,32 +45,36 @@
     keys.sort();
     keys.dedup();
     assert!(keys.len() > 40, "{keys:?}");
-    let page = page("OPERATORS.md");
+    let page = read_page("OPERATORS.md");
     for key in keys {
         assert!(page.contains(&format!("`{key}`")), "docs/OPERATORS.md does not have the setting {key}");
     }
 }
 
 #[test]
-fn operators_page_has_every_note() {
-    let page = page("OPERATORS.md");
-    for note in RelayCounter::ALL {
-        assert!(page.contains(&format!("`{}`", note.label())), "docs/OPERATORS.md does not have {}", note.label());
+fn operators_page_has_every_counter() {
+    let page = read_page("OPERATORS.md");
+    for counter in RelayCounter::ALL {
+        assert!(
+            page.contains(&format!("`{}`", counter.label())),
+            "docs/OPERATORS.md does not have {}",
+            counter.label()
+        );
     }
 }
 
-/// The names of log lines in a source file: texts of two words in lower case, parted by a dot.
-fn line_names(source: &str) -> Vec<String> {
+/// Log event names in a source file: string literals of two lower-case words separated by a dot.
+fn event_names(source: &str) -> Vec<String> {
     let is_word = |word: &str| !word.is_empty() && word.chars().all(|c| c.is_ascii_lowercase() || c == '_');
     let texts = source.split('"').filter(|text| text.split_once('.').is_some_and(|(a, b)| is_word(a) && is_word(b)));
     texts.map(str::to_owned).collect()
 }
 
-fn sources(folder: &Path, found: &mut Vec<String>) {
+fn read_sources(folder: &Path, found: &mut Vec<String>) {
     for entry in fs::read_dir(folder).unwrap().map(Result::unwrap) {
         let path = entry.path();
         if path.is_dir() {
-            sources(&path, found);
+            read_sources(&path, found);
         } else {
             found.push(fs::read_to_string(path).unwrap());
         }
@@ -77,14 +82,14 @@
 }
 
 #[test]
-fn operations_page_has_every_line_and_counter() {
-    let page = page("OPERATIONS.md");
+fn operations_page_has_every_log_event_and_counter() {
+    let page = read_page("OPERATIONS.md");
     let mut found = Vec::new();
-    sources(&Path::new(env!("CARGO_MANIFEST_DIR")).join("../hollyhook_gateway/src"), &mut found);
-    let names: Vec<String> = found.iter().flat_map(|source| line_names(source)).collect();
+    read_sources(&Path::new(env!("CARGO_MANIFEST_DIR")).join("../hollyhook_gateway/src"), &mut found);
+    let names: Vec<String> = found.iter().flat_map(|source| event_names(source)).collect();
     assert!(names.len() > 20, "{names:?}");
     for name in names {
-        assert!(page.contains(&format!("`{name}`")), "docs/OPERATIONS.md does not have the line {name}");
+        assert!(page.contains(&format!("`{name}`")), "docs/OPERATIONS.md does not have the log event {name}");
     }
     for source in &found {
         for counter in source.split('"').filter(|text| text.starts_with("attempts_") || text.starts_with("requests_")) {
@@ -99,7 +104,7 @@
     let errors = GatewaySettings::parse(&SettingFile::parse("gateway", text).unwrap()).unwrap_err();
     let keys = keys(&errors);
     assert!(keys.len() > 12, "{keys:?}");
-    let page = page("OPERATIONS.md");
+    let page = read_page("OPERATIONS.md");
     for key in keys {
         assert!(page.contains(&format!("`{key}`")), "docs/OPERATIONS.md does not have the setting {key}");
     }
--- a/crates/hollyhook/tests/processes/fleet.rs
+++ b/crates/hollyhook/tests/processes/fleet.rs
@@ -20,7 +20,7 @@
 pub const OTHER_KEY: &str = "hh-franchise";
 pub const MODEL: &str = "tutor-7b";
 
-/// A process of the test, ended by its id when the test ends.
+/// Child process of a test; killed when dropped.
 pub struct Process {
     child: Child,
     pub address: SocketAddr,
@@ -37,7 +37,7 @@
             .expect("the binary was built");
         let mut lines = BufReader::new(child.stdout.take().unwrap()).lines();
         let mut address = |name: &str| -> SocketAddr {
-            let line = lines.next().expect("the process says where it listens").unwrap();
+            let line = lines.next().expect("the process prints the address that it listens on").unwrap();
             line.strip_prefix(name).unwrap_or_else(|| panic!("{line}")).parse().unwrap()
         };
         let listening = address("listening=");
@@ -46,7 +46,8 @@
         Self { child, address: listening, peer_address }
     }
 
-    /// Sends a signal; returns after SIGSTOP only when every thread has stopped, since the signal itself only asks for it.
+    /// Sends a signal. After SIGSTOP, waits until every thread has stopped, since threads stop some time after the signal was
+    /// sent.
     pub fn signal(&self, signal: Signal) {
         kill(Pid::from_raw(self.child.id().cast_signed()), signal).unwrap();
         while signal == Signal::SIGSTOP && !self.has_stopped() {
@@ -57,7 +58,7 @@
     fn has_stopped(&self) -> bool {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).unwrap();
         let stats = tasks.map(|task| std::fs::read_to_string(task.unwrap().path().join("stat")).unwrap());
-        // The state follows the name, which stands in parentheses and may hold any character.
+        // The state follows the thread's name, which is in parentheses and may contain any character.
         stats.into_iter().all(|stat| stat.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T')))
     }
 
@@ -66,7 +67,7 @@
         self.child.wait().unwrap();
     }
 
-    /// Waits until the process has ended by itself.
+    /// Waits until the process has exited by itself, and returns its exit code.
     pub fn wait(&mut self) -> Option<i32> {
         self.child.wait().unwrap().code()
     }
@@ -79,26 +80,30 @@
     }
 }
 
+/// Fleet of processes with two daemons in two availability zones.
 pub struct Fleet {
     pub platform: Process,
     pub engines: Vec<Process>,
     pub services: Vec<Process>,
     pub daemons: Vec<Process>,
-    /// Holds the settings; deleted with the fleet.
+    /// Folder of the settings files; deleted with the fleet.
     _folder: tempfile::TempDir,
 }
 
-pub struct FleetPlan {
+/// Configuration of a [`Fleet`].
+pub struct FleetConfig {
     pub engines: usize,
     pub services: usize,
     pub step_ms: u64,
-    pub limits: &'static str,
-    pub service: &'static str,
+    /// Lines for the section `[limits]` of the settings.
+    pub limit_lines: &'static str,
+    /// Lines for the settings of the generation service.
+    pub service_lines: &'static str,
 }
 
-impl Default for FleetPlan {
+impl Default for FleetConfig {
     fn default() -> Self {
-        Self { engines: 3, services: 1, step_ms: 10, limits: "", service: "" }
+        Self { engines: 3, services: 1, step_ms: 10, limit_lines: "", service_lines: "" }
     }
 }
 
@@ -113,17 +118,17 @@
 }
 
 impl Fleet {
-    pub fn start(plan: &FleetPlan) -> Self {
+    pub fn start(config: &FleetConfig) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let platform = command(&["stand-in", "platform"]);
-        let step = plan.step_ms.to_string();
+        let step = config.step_ms.to_string();
         let engine = |number: usize| {
             let salt = (number + 1).to_string();
             command(&["stand-in", "engine", "--step-ms", &step, "--salt", &salt, "--model", MODEL])
         };
-        let engines: Vec<Process> = (0..plan.engines).map(engine).collect();
-        let services: Vec<Process> = (0..plan.services).map(|_| command(&["stand-in", "service"])).collect();
-        write_site(folder.path(), plan, &engines, &services);
+        let engines: Vec<Process> = (0..config.engines).map(engine).collect();
+        let services: Vec<Process> = (0..config.services).map(|_| command(&["stand-in", "service"])).collect();
+        write_site(folder.path(), config, &engines, &services);
         let daemons = (0..2).map(|number| start_daemon(folder.path(), number, platform.address)).collect();
         Self { platform, engines, services, daemons, _folder: folder }
     }
@@ -151,7 +156,7 @@
         counts(&self.platform).await
     }
 
-    /// The engine that decodes.
+    /// Number of the first engine that runs a generation.
     pub async fn busy_engine(&self) -> usize {
         for number in 0..self.engines.len() {
             let client = CallerClient::new(self.engines[number].address, "");
@@ -161,7 +166,7 @@
                 return number;
             }
         }
-        panic!("no engine decodes");
+        panic!("no engine runs a generation");
     }
 }
 
@@ -171,15 +176,15 @@
     serde_json::from_value(answer.value).unwrap()
 }
 
-fn write_site(folder: &Path, plan: &FleetPlan, engines: &[Process], services: &[Process]) {
+fn write_site(folder: &Path, config: &FleetConfig, engines: &[Process], services: &[Process]) {
     let base = format!(
         "[service tutor]\nclass = long\nkind = generation\nmodel = {MODEL}\nversion = 1\ncontext = 4096 tokens\n{}\n\
          [service booking]\nclass = quick\nkind = plain\nprefix = /booking\ntimeout = 2 s\n\
          [account head-office]\nkey_sha256 = {}\n[account franchise]\nkey_sha256 = {}\n[limits]\n{}\n",
-        plan.service,
+        config.service_lines,
         key_digest(KEY),
         key_digest(OTHER_KEY),
-        plan.limits
+        config.limit_lines
     );
     let mut overlay = String::from("[site]\nname = test\nzones = zone-0, zone-1\n");
     for (number, engine) in engines.iter().enumerate() {
@@ -209,8 +214,8 @@
     Process::start(env!("CARGO_BIN_EXE_hollyhookd"), &["--settings", path.to_str().unwrap()])
 }
 
-/// A stream that is being read, with all that it brought.
-pub struct Reading {
+/// Reader of a generation's stream, with everything received so far.
+pub struct StreamReader {
     pub stream: CallerStream,
     pub tokens: Vec<String>,
     pub cursor: String,
@@ -218,14 +223,14 @@
     pub failure: Option<String>,
 }
 
-impl Reading {
+impl StreamReader {
     pub async fn open(client: &CallerClient, prompt: &str, max_tokens: u64, fields: &[(&str, &str)]) -> Self {
         let body = completion_body(MODEL, prompt, max_tokens, true);
         let stream = client.stream(ApiStyle::Completion, &body, fields).await.unwrap().unwrap();
         Self { stream, tokens: Vec::new(), cursor: String::new(), is_done: false, failure: None }
     }
 
-    /// Reads until there are that many tokens, or the stream has ended.
+    /// Reads until `count` tokens have been received or the stream has ended.
     pub async fn read_to(&mut self, count: usize) {
         while self.tokens.len() < count && !self.is_done && self.failure.is_none() {
             match self.stream.next().await.unwrap() {
@@ -245,22 +250,22 @@
     }
 }
 
-/// Asserts that the tokens are one whole generation, compared token for token with its chain.
-pub fn assert_whole(prompt: &str, tokens: &[String], expected: usize) {
+/// Asserts that the tokens are one complete generation: `expected` tokens, each following from the one before.
+pub fn assert_complete(prompt: &str, tokens: &[String], expected: usize) {
     let chain = TokenChain::new(prompt, &ModelBinding::new(MODEL, "1"));
     assert_eq!(chain.first_break(tokens.iter().map(String::as_str)), None, "a token does not follow");
     assert_eq!(tokens.len(), expected);
 }
 
-/// Asks again until the answer satisfies, a bounded number of times.
-pub async fn until<T, F: Future<Output = T>>(mut ask: impl FnMut() -> F, satisfies: impl Fn(&T) -> bool) -> T {
-    const TRIES: u32 = 1_000;
-    for _ in 0..TRIES {
-        let answer = ask().await;
-        if satisfies(&answer) {
-            return answer;
+/// Repeats `fetch` every 10 ms until `condition` holds for its result; panics after 1,000 attempts.
+pub async fn poll_until<T, F: Future<Output = T>>(mut fetch: impl FnMut() -> F, condition: impl Fn(&T) -> bool) -> T {
+    const MAX_ATTEMPTS: u32 = 1_000;
+    for _ in 0..MAX_ATTEMPTS {
+        let value = fetch().await;
+        if condition(&value) {
+            return value;
         }
         task::sleep(Duration::from_millis(10)).await;
     }
-    panic!("what was waited for did not happen");
+    panic!("the condition did not hold within {MAX_ATTEMPTS} attempts, 10 ms apart");
 }
--- a/crates/hollyhook/tests/processes/log_trace.rs
+++ b/crates/hollyhook/tests/processes/log_trace.rs
@@ -22,15 +22,16 @@
 {"timestamp":"T2","level":"INFO","message":"attempt.failed","request":"r4","endpoint":"i-2","failure":"failed"}
 "#;
 
-/// In the order of each host, whatever its clock says, with what the hosts believed of the endpoints.
+/// The lines of a host are printed in the order of its log whatever their timestamps are, with related lines on the
+/// endpoints and the store.
 #[test]
-fn trace_tells_from_many_logs() {
+fn trace_from_many_logs() {
     let folder = tempfile::tempdir().unwrap();
     let logs = [log(folder.path(), "a.log", HOST_A), log(folder.path(), "b.log", HOST_B)];
     let output = trace("r1", &logs);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let text = String::from_utf8(output.stdout).unwrap();
-    let places: Vec<usize> = [
+    let positions: Vec<usize> = [
         "a.log:",
         "(1 lines are not log lines)",
         "T9 endpoint.ejected endpoint=i-1 failure=broken",
@@ -43,7 +44,7 @@
     .iter()
     .map(|part| text.find(part).unwrap_or_else(|| panic!("{part} is not in:\n{text}")))
     .collect();
-    assert!(places.is_sorted(), "{text}");
+    assert!(positions.is_sorted(), "{text}");
     assert!(!text.contains("r2"), "{text}");
 }
 
--- a/crates/hollyhook/tests/processes/main.rs
+++ b/crates/hollyhook/tests/processes/main.rs
@@ -1,4 +1,5 @@
-//! The real processes on one machine: a platform, engines, a plain service and daemons in two zones.
+//! Tests with the real processes on one machine: stand-ins for the platform, the engines and a plain service, and
+//! daemons in two availability zones.
 
 mod bad_input;
 mod demo;
--- a/crates/hollyhook/tests/processes/placement.rs
+++ b/crates/hollyhook/tests/processes/placement.rs
@@ -1,4 +1,4 @@
-//! The experiment with placement policies, as a person runs it.
+//! `hollyhook load placement`: the simulation of placement policies.
 
 use std::process::{Command, Output};
 
@@ -14,7 +14,7 @@
     let path = folder.path().join("placement.svg");
     let output = run(&["--plot", path.to_str().unwrap(), "--json"]);
     assert!(output.status.success(), "{output:?}");
-    // Two loads, calm and with losses, four policies.
+    // Two loads, each without and with zone crashes, and four policies.
     assert_eq!(String::from_utf8(output.stdout).unwrap().lines().count(), 16);
     let drawing = std::fs::read_to_string(path).unwrap();
     assert!(drawing.starts_with("<svg") && drawing.trim_end().ends_with("</svg>"));
--- a/crates/hollyhook/tests/processes/plain_calls.rs
+++ b/crates/hollyhook/tests/processes/plain_calls.rs
@@ -5,15 +5,15 @@
 use nix::sys::signal::Signal;
 use serde_json::json;
 
-use crate::fleet::{Fleet, FleetPlan, until};
+use crate::fleet::{Fleet, FleetConfig, poll_until};
 
-async fn book(fleet: &Fleet, daemon: usize, key: &str, lesson: u32) -> CallerAnswer {
+async fn book_lesson(fleet: &Fleet, daemon: usize, key: &str, lesson: u32) -> CallerAnswer {
     let fields = [("idempotency-key", key)];
     let body = json!({"lesson": lesson});
     fleet.client(daemon).call(Method::Post, "/booking/confirm", Some(&body), &fields).await.unwrap()
 }
 
-fn code(answer: &CallerAnswer) -> (u16, &str, &str) {
+fn error_of(answer: &CallerAnswer) -> (u16, &str, &str) {
     let error = &answer.value["error"];
     (answer.status, error["code"].as_str().unwrap_or_default(), error["run"].as_str().unwrap_or_default())
 }
@@ -28,7 +28,7 @@
 
 #[test]
 fn plain_call_passed_through() {
-    let fleet = Fleet::start(&FleetPlan::default());
+    let fleet = Fleet::start(&FleetConfig::default());
     block_on(async {
         let body = json!({"lesson": 4});
         let answer = fleet.client(0).call(Method::Put, "/booking/lessons/4", Some(&body), &[]).await.unwrap();
@@ -41,73 +41,77 @@
 
 #[test]
 fn booking_repeated_at_another_host() {
-    let fleet = Fleet::start(&FleetPlan { services: 2, ..FleetPlan::default() });
+    let fleet = Fleet::start(&FleetConfig { services: 2, ..FleetConfig::default() });
     block_on(async {
-        let first = book(&fleet, 0, "lesson-1", 1).await;
+        let first = book_lesson(&fleet, 0, "lesson-1", 1).await;
         assert_eq!(first.status, 200);
-        let again = until(
-            || book(&fleet, 1, "lesson-1", 1),
-            // The answer is kept a moment after it was given.
+        let again = poll_until(
+            || book_lesson(&fleet, 1, "lesson-1", 1),
+            // The answer is stored shortly after the caller received it; until then the key is in progress (409).
             |answer| answer.status != 409,
         )
         .await;
         assert_eq!((again.status, &again.value), (200, &first.value));
         assert_eq!(executions(&fleet, "lesson-1").await, 1);
-        let reused = book(&fleet, 1, "lesson-1", 2).await;
-        assert_eq!(code(&reused), (422, "idempotency_key_reused", "not_run"));
+        let reused = book_lesson(&fleet, 1, "lesson-1", 2).await;
+        assert_eq!(error_of(&reused), (422, "idempotency_key_reused", "not_run"));
     });
 }
 
 #[test]
 fn booking_reply_lost() {
-    let fleet = Fleet::start(&FleetPlan { services: 2, ..FleetPlan::default() });
+    let fleet = Fleet::start(&FleetConfig { services: 2, ..FleetConfig::default() });
     block_on(async {
         for service in &fleet.services {
             fleet.fault(service, FaultKind::LoseReply, 1).await;
         }
-        let answer = book(&fleet, 0, "lesson-2", 2).await;
-        assert_eq!(code(&answer), (502, "outcome_unknown", "unknown"));
-        let again = book(&fleet, 1, "lesson-2", 2).await;
+        let answer = book_lesson(&fleet, 0, "lesson-2", 2).await;
+        assert_eq!(error_of(&answer), (502, "outcome_unknown", "unknown"));
+        let again = book_lesson(&fleet, 1, "lesson-2", 2).await;
         assert_ne!(again.status, 200);
-        assert_eq!(executions(&fleet, "lesson-2").await, 1, "it is never sent again");
+        assert_eq!(executions(&fleet, "lesson-2").await, 1, "a call with an unknown outcome is not sent again");
     });
 }
 
 #[test]
 fn booking_no_endpoint() {
-    let mut fleet = Fleet::start(&FleetPlan::default());
+    let mut fleet = Fleet::start(&FleetConfig::default());
     block_on(async {
         fleet.services[0].kill();
-        let answer = book(&fleet, 0, "lesson-3", 3).await;
-        assert_eq!(code(&answer), (503, "not_run", "not_run"));
+        let answer = book_lesson(&fleet, 0, "lesson-3", 3).await;
+        assert_eq!(error_of(&answer), (503, "not_run", "not_run"));
         assert!(answer.retry_after.is_some());
     });
 }
 
 #[test]
 fn booking_platform_down() {
-    let fleet = Fleet::start(&FleetPlan::default());
+    let fleet = Fleet::start(&FleetConfig::default());
     block_on(async {
         fleet.fault(&fleet.platform, FaultKind::Outage, 0).await;
-        let refused = book(&fleet, 0, "lesson-4", 4).await;
-        assert_eq!(code(&refused), (503, "platform_down", "not_run"));
+        let refused = book_lesson(&fleet, 0, "lesson-4", 4).await;
+        assert_eq!(error_of(&refused), (503, "platform_down", "not_run"));
         assert!(refused.retry_after.is_some());
         assert_eq!(executions(&fleet, "lesson-4").await, 0);
-        // What needs no claim goes on.
+        // Calls that need no claim are still served.
         let read = fleet.client(0).call(Method::Get, "/booking/lessons", None, &[]).await.unwrap();
         assert_eq!(read.status, 200);
         fleet.fault(&fleet.platform, FaultKind::Recover, 0).await;
-        assert_eq!(book(&fleet, 1, "lesson-4", 4).await.status, 200);
+        assert_eq!(book_lesson(&fleet, 1, "lesson-4", 4).await.status, 200);
         assert_eq!(executions(&fleet, "lesson-4").await, 1);
     });
 }
 
 #[test]
 fn booking_claim_reply_lost() {
-    let fleet = Fleet::start(&FleetPlan::default());
+    let fleet = Fleet::start(&FleetConfig::default());
     block_on(async {
         fleet.fault(&fleet.platform, FaultKind::LoseReply, 1).await;
-        assert_eq!(book(&fleet, 0, "lesson-5", 5).await.status, 200, "the claim is found by its own name");
+        assert_eq!(
+            book_lesson(&fleet, 0, "lesson-5", 5).await.status,
+            200,
+            "the host finds its own claim in the store"
+        );
         assert_eq!(executions(&fleet, "lesson-5").await, 1);
         assert!(fleet.platform_counts().await.writes >= 1);
     });
@@ -115,7 +119,7 @@
 
 #[test]
 fn read_retried_elsewhere() {
-    let mut fleet = Fleet::start(&FleetPlan { services: 2, ..FleetPlan::default() });
+    let mut fleet = Fleet::start(&FleetConfig { services: 2, ..FleetConfig::default() });
     block_on(async {
         fleet.services[0].kill();
         for _ in 0..10 {
@@ -127,22 +131,22 @@
 
 #[test]
 fn booking_host_paused() {
-    let fleet = Fleet::start(&FleetPlan::default());
+    let fleet = Fleet::start(&FleetConfig::default());
     block_on(async {
-        // The service takes the call and does not answer; its host is stopped meanwhile.
+        // The service accepts the call and does not answer; meanwhile the host that sent the call is stopped.
         fleet.fault(&fleet.services[0], FaultKind::Pause, 0).await;
         let client = fleet.client(0);
         let first = spawn(async move {
             let fields = [("idempotency-key", "lesson-6")];
             client.call(Method::Post, "/booking/confirm", Some(&json!({"lesson": 6})), &fields).await
         });
-        until(|| fleet.platform_counts(), |counts| counts.writes > 0).await;
-        let repeated = until(|| book(&fleet, 1, "lesson-6", 6), |answer| answer.status != 503).await;
+        poll_until(|| fleet.platform_counts(), |counts| counts.writes > 0).await;
+        let repeated = poll_until(|| book_lesson(&fleet, 1, "lesson-6", 6), |answer| answer.status != 503).await;
         fleet.daemons[0].signal(Signal::SIGSTOP);
-        assert!(matches!(code(&repeated), (409, "idempotency_key_in_progress", "unknown")), "{repeated:?}");
+        assert!(matches!(error_of(&repeated), (409, "idempotency_key_in_progress", "unknown")), "{repeated:?}");
         fleet.fault(&fleet.services[0], FaultKind::Wake, 0).await;
-        let repeated = book(&fleet, 1, "lesson-6", 6).await;
-        assert_ne!(repeated.status, 200, "the answer is not known at this host");
+        let repeated = book_lesson(&fleet, 1, "lesson-6", 6).await;
+        assert_ne!(repeated.status, 200, "only the stopped host can have received the answer");
         fleet.daemons[0].signal(Signal::SIGCONT);
         assert!(matches!(first.await.unwrap().status, 200 | 502));
         assert!(executions(&fleet, "lesson-6").await <= 1);
@@ -151,15 +155,15 @@
 
 #[test]
 fn booking_platform_paused() {
-    let fleet = Fleet::start(&FleetPlan::default());
+    let fleet = Fleet::start(&FleetConfig::default());
     block_on(async {
         fleet.platform.signal(Signal::SIGSTOP);
-        let refused = book(&fleet, 0, "lesson-7", 7).await;
-        assert_eq!(code(&refused), (503, "platform_down", "not_run"));
+        let refused = book_lesson(&fleet, 0, "lesson-7", 7).await;
+        assert_eq!(error_of(&refused), (503, "platform_down", "not_run"));
         assert_eq!(executions(&fleet, "lesson-7").await, 0);
-        // The write that was not answered takes effect late; the claim is released, and a repeat runs.
+        // The write that was not answered takes effect late. The claim is released, so a repeat of the call runs.
         fleet.platform.signal(Signal::SIGCONT);
-        let answer = until(|| book(&fleet, 1, "lesson-7", 7), |answer| answer.status == 200).await;
+        let answer = poll_until(|| book_lesson(&fleet, 1, "lesson-7", 7), |answer| answer.status == 200).await;
         assert_eq!(answer.status, 200);
         assert_eq!(executions(&fleet, "lesson-7").await, 1);
     });
--- a/crates/hollyhook/tests/processes/settings.rs
+++ b/crates/hollyhook/tests/processes/settings.rs
@@ -34,15 +34,15 @@
 
 #[test]
 fn examples_atlantico() {
-    let (is_right, summary) = check_site("atlantico", "lisbon.ini");
-    assert!(is_right && summary.contains("40 endpoints in 4 availability zones"), "{summary}");
+    let (is_valid, summary) = check_site("atlantico", "lisbon.ini");
+    assert!(is_valid && summary.contains("40 endpoints in 4 availability zones"), "{summary}");
     assert_eq!(check_hosts("atlantico", "lis-"), 8);
 }
 
 #[test]
 fn examples_cuentas_claras() {
-    let (is_right, summary) = check_site("cuentas-claras", "quito.ini");
-    assert!(is_right && summary.contains("27 endpoints in 3 availability zones"), "{summary}");
+    let (is_valid, summary) = check_site("cuentas-claras", "quito.ini");
+    assert!(is_valid && summary.contains("27 endpoints in 3 availability zones"), "{summary}");
     assert_eq!(check_hosts("cuentas-claras", "uio-"), 7);
 }
 
@@ -62,6 +62,6 @@
     let text = String::from_utf8(output.stderr).unwrap();
     assert!(!output.status.success());
     assert!(text.contains("host.ini:2: [host] naem: there is no such key here; did you mean `name`?"), "{text}");
-    assert!(text.contains("`cursor` is missing"), "every error is reported at once: {text}");
+    assert!(text.contains("`cursor` is missing"), "all errors must be reported, not only the first: {text}");
     assert!(!check_site("atlantico", "base.ini").0);
 }
--- a/crates/hollyhook/tests/processes/status.rs
+++ b/crates/hollyhook/tests/processes/status.rs
@@ -3,19 +3,19 @@
 use async_std::task::block_on;
 use serde_json::Value;
 
-use crate::fleet::{Fleet, FleetPlan, Reading};
+use crate::fleet::{Fleet, FleetConfig, StreamReader};
 
 #[test]
 fn status_shown_for_a_running_daemon() {
-    let fleet = Fleet::start(&FleetPlan::default());
+    let fleet = Fleet::start(&FleetConfig::default());
     block_on(async {
-        let mut reading = Reading::open(&fleet.client(0), "a report", 50, &[]).await;
-        reading.read_all().await;
+        let mut reader = StreamReader::open(&fleet.client(0), "a report", 50, &[]).await;
+        reader.read_all().await;
     });
     let peer = fleet.daemons[0].peer_address.unwrap().to_string();
-    let run = |more: &[&str]| {
+    let run = |extra_args: &[&str]| {
         let output =
-            Command::new(env!("CARGO_BIN_EXE_hollyhook")).arg("status").arg(&peer).args(more).output().unwrap();
+            Command::new(env!("CARGO_BIN_EXE_hollyhook")).arg("status").arg(&peer).args(extra_args).output().unwrap();
         assert!(output.status.success());
         String::from_utf8(output.stdout).unwrap()
     };
@@ -34,24 +34,24 @@
 
 #[test]
 fn explain_and_replay_a_kill() {
-    let mut fleet = Fleet::start(&FleetPlan::default());
+    let mut fleet = Fleet::start(&FleetConfig::default());
     let request = block_on(async {
-        let mut reading = Reading::open(&fleet.client(0), "a report", 50, &[]).await;
-        reading.read_to(10).await;
+        let mut reader = StreamReader::open(&fleet.client(0), "a report", 50, &[]).await;
+        reader.read_to(10).await;
         let busy = fleet.busy_engine().await;
         fleet.engines[busy].kill();
-        reading.read_all().await;
-        reading.stream.request_id().unwrap().to_owned()
+        reader.read_all().await;
+        reader.stream.request_id().unwrap().to_owned()
     });
     let peer = fleet.daemons[0].peer_address.unwrap().to_string();
     let run = |args: &[&str]| {
         let output = Command::new(env!("CARGO_BIN_EXE_hollyhook")).args(args).output().unwrap();
         (output.status.success(), String::from_utf8(output.stdout).unwrap())
     };
-    let (_, words) = run(&["explain", &request, "--daemon", &peer]);
+    let (_, steps) = run(&["explain", &request, "--daemon", &peer]);
     assert!(
-        words.contains("from the prompt and the tokens so far") && words.contains("50 tokens in all; Whole"),
-        "{words}"
+        steps.contains("from the prompt and the tokens so far") && steps.contains("50 tokens in all; Whole"),
+        "{steps}"
     );
 
     let (_, trace) = run(&["explain", &request, "--daemon", &peer, "--raw"]);
@@ -65,12 +65,12 @@
 }
 
 #[test]
-fn status_reader_gone() {
-    let fleet = Fleet::start(&FleetPlan::default());
+fn status_output_closed_early() {
+    let fleet = Fleet::start(&FleetConfig::default());
     let peer = fleet.daemons[0].peer_address.unwrap().to_string();
-    for more in [&[][..], &["--json"]] {
+    for extra_args in [&[][..], &["--json"]] {
         let mut command = Command::new(env!("CARGO_BIN_EXE_hollyhook"));
-        let command = command.arg("status").arg(&peer).args(more).stdout(Stdio::piped()).stderr(Stdio::null());
+        let command = command.arg("status").arg(&peer).args(extra_args).stdout(Stdio::piped()).stderr(Stdio::null());
         let mut child = command.spawn().unwrap();
         drop(child.stdout.take());
         assert!(child.wait().unwrap().success());
--- a/crates/hollyhook_command/src/load/placement/placement_plot.rs
+++ b/crates/hollyhook_command/src/load/placement/placement_plot.rs
@@ -45,7 +45,7 @@
     }
     let loads = || lines.values().flatten().map(|(load, _)| *load);
     let (least, most) = (loads().min().unwrap_or(0), loads().max().unwrap_or(100));
-    let caption = if has_losses { "a zone lost every six seconds" } else { "calm" };
+    let caption = if has_losses { "a zone crash every six seconds" } else { "calm" };
     let mut chart = ChartBuilder::on(area)
         .caption(caption, FONT)
         .margin(MARGIN)
