--- a/crates/hollyhook/tests/processes/docs.rs
+++ b/crates/hollyhook/tests/processes/docs.rs
@@ -8,8 +8,8 @@
     fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs").join(name)).unwrap()
 }
 
-/// The valid keys of each section, from the errors for unknown keys: if a key resembles no valid one, its error lists all
-/// valid keys.
+/// The valid keys of each section, from the errors for unknown keys: if a key resembles no valid one, its error lists
+/// all valid keys.
 fn keys(errors: &SettingErrors) -> Vec<String> {
     let lists = errors.0.iter().filter_map(|error| error.right.strip_prefix("the keys are "));
     lists.flat_map(|list| list.split(", ")).map(str::to_owned).collect()
--- a/crates/hollyhook/tests/processes/fleet.rs
+++ b/crates/hollyhook/tests/processes/fleet.rs
@@ -46,8 +46,8 @@
         Self { child, address: listening, peer_address }
     }
 
-    /// Sends a signal. After SIGSTOP, waits until every thread has stopped, since threads stop some time after the signal was
-    /// sent.
+    /// Sends a signal. After SIGSTOP, waits until every thread has stopped, since threads stop some time after the
+    /// signal was sent.
     pub fn signal(&self, signal: Signal) {
         kill(Pid::from_raw(self.child.id().cast_signed()), signal).unwrap();
         while signal == Signal::SIGSTOP && !self.has_stopped() {
--- a/crates/hollyhook_command/src/load/failure_stream.rs
+++ b/crates/hollyhook_command/src/load/failure_stream.rs
@@ -12,7 +12,7 @@
 
 /// Time for which the naive client waits for a response or a token before it turns to the next engine.
 const NAIVE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most attempts of the naive client for one stream.
+/// Maximum number of attempts of the naive client for one stream.
 const MAX_NAIVE_ATTEMPTS: usize = 10;
 
 /// How a stream is requested.
@@ -56,7 +56,8 @@
 impl StreamOutcome {
     /// Longest time without a new token after the fault; `None` if no token arrived after it.
     ///
-    /// As this is the longest of all gaps after the fault, tokens in transit at its time do not hide the wait for a resume.
+    /// As this is the longest of all gaps after the fault, tokens in transit at its time do not hide the wait for a
+    /// resume.
     pub(super) fn longest_gap_after(&self, failed_at: Instant) -> Option<Duration> {
         let gaps = self.times.windows(2).filter(|pair| pair[1] > failed_at);
         gaps.map(|pair| pair[1] - pair[0].max(failed_at)).max()
@@ -125,8 +126,8 @@
         body
     }
 
-    /// Reads a stream to its end and returns whether the end arrived. Skips the positions already received from an earlier
-    /// attempt.
+    /// Reads a stream to its end and returns whether the end arrived. Skips the positions already received from an
+    /// earlier attempt.
     async fn read(&mut self, stream: &mut CallerStream, limit: Option<Duration>) -> bool {
         let mut position = 0;
         loop {
--- a/crates/hollyhook_command/src/load/failures.rs
+++ b/crates/hollyhook_command/src/load/failures.rs
@@ -46,7 +46,7 @@
 /// Fault that is injected when the streams are halfway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-enum FaultScenario {
+enum FaultPlan {
     None,
     KillEngine,
     PauseEngine,
@@ -55,7 +55,7 @@
     PauseZone,
 }
 
-impl FaultScenario {
+impl FaultPlan {
     const ALL: [Self; 6] =
         [Self::None, Self::KillEngine, Self::PauseEngine, Self::SilenceEngine, Self::KillZone, Self::PauseZone];
 
@@ -81,22 +81,22 @@
 /// Recovery policy of a run: one of the daemon's, or a naive client without a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-enum RecoveryPolicy {
+enum PolicyPlan {
     FavourLatency,
     FavourWork,
     /// Requests sent directly to the engines, restarted from the beginning after a reset or 5 s without a token.
     Naive,
 }
 
-impl RecoveryPolicy {
+impl PolicyPlan {
     const ALL: [Self; 3] = [Self::FavourLatency, Self::FavourWork, Self::Naive];
 }
 
 /// Results of one run.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 struct FailureRow {
-    fault: FaultScenario,
-    policy: RecoveryPolicy,
+    fault: FaultPlan,
+    policy: PolicyPlan,
     streams: usize,
     /// Streams that ran on the failed engines.
     affected: usize,
@@ -109,8 +109,8 @@
     extra_decode_tokens: u64,
     /// Engine work in tokens divided by that of an undisturbed run, minus one.
     extra_work_ratio: f64,
-    /// Engine time divided by that of an undisturbed run, minus one. A read token takes 0.1 ms, a decoded one its slot's
-    /// share of a step.
+    /// Engine time divided by that of an undisturbed run, minus one. A read token takes 0.1 ms, a decoded one its
+    /// slot's share of a step.
     extra_time_ratio: f64,
 }
 
@@ -137,10 +137,10 @@
     }
     let mut is_success = true;
     for streams in [1, LOADED_STREAMS] {
-        for fault in FaultScenario::ALL {
-            for policy in RecoveryPolicy::ALL {
-                let row = run_scenario(&args, fault, policy, streams).await?;
-                is_success &= policy == RecoveryPolicy::Naive || row.whole == row.streams;
+        for fault in FaultPlan::ALL {
+            for policy in PolicyPlan::ALL {
+                let row = run_fault(&args, fault, policy, streams).await?;
+                is_success &= policy == PolicyPlan::Naive || row.whole == row.streams;
                 print_row(&args, &row)?;
             }
         }
@@ -171,20 +171,15 @@
     Ok(())
 }
 
-async fn run_scenario(
-    args: &FailureArgs,
-    fault: FaultScenario,
-    policy: RecoveryPolicy,
-    streams: usize,
-) -> Result<FailureRow> {
-    let lines = if policy == RecoveryPolicy::FavourWork { "policy = favour-work" } else { "" };
+async fn run_fault(args: &FailureArgs, fault: FaultPlan, policy: PolicyPlan, streams: usize) -> Result<FailureRow> {
+    let lines = if policy == PolicyPlan::FavourWork { "policy = favour-work" } else { "" };
     let options = FleetOptions::new(ENGINES).step(STEP).zones(ZONES).capacity(SLOTS).service_lines(lines);
     let fleet = LocalFleet::start(&options).await?;
     let (half_sender, half_receiver) = async_channel::unbounded();
     let runs: Vec<_> = (0..streams)
         .map(|number| {
             let client = match policy {
-                RecoveryPolicy::Naive => StreamClient::naive(&fleet, number),
+                PolicyPlan::Naive => StreamClient::naive(&fleet, number),
                 _ => StreamClient::daemon(&fleet, number),
             };
             let stream = FailureStream::new(number, args.prompt, args.tokens).notify_at_half(half_sender.clone());
@@ -209,8 +204,8 @@
 
 fn failure_row(
     args: &FailureArgs,
-    fault: FaultScenario,
-    policy: RecoveryPolicy,
+    fault: FaultPlan,
+    policy: PolicyPlan,
     affected: usize,
     failed_at: Instant,
     outcomes: &[StreamOutcome],
--- a/crates/hollyhook_command/src/load/placement/fleet_model.rs
+++ b/crates/hollyhook_command/src/load/placement/fleet_model.rs
@@ -194,8 +194,8 @@
         }
     }
 
-    /// Crashes each engine of a zone with a probability of 0.9, and places its generations again, each from the start of its
-    /// prompt.
+    /// Crashes each engine of a zone with a probability of 0.9, and places its generations again, each from the start
+    /// of its prompt.
     fn crash_zone(&mut self, now_us: u64, zone: usize, end_us: u64) {
         let mut lost = Vec::new();
         for engine in (zone..self.scenario.engines).step_by(self.scenario.zones) {
--- a/crates/hollyhook_command/src/load/placement/report_log.rs
+++ b/crates/hollyhook_command/src/load/placement/report_log.rs
@@ -44,8 +44,8 @@
         self.down_until[engine] <= self.now_us
     }
 
-    /// The report that would arrive at a host at `now`: the newest one of at least `REPORT_LAG` ago, or an empty report if
-    /// there is none. Returns `None` if the engine is down.
+    /// The report that would arrive at a host at `now`: the newest one of at least `REPORT_LAG` ago, or an empty report
+    /// if there is none. Returns `None` if the engine is down.
     pub(super) fn report(&self, engine: usize, now: TimePoint) -> Option<EngineReport> {
         let latest_us = now.as_micros().saturating_sub(REPORT_LAG.as_micros() as u64);
         let known = self.reports[engine].iter().rev().find(|(recorded_us, _)| *recorded_us <= latest_us);
--- a/crates/hollyhook_command/src/load/slopes.rs
+++ b/crates/hollyhook_command/src/load/slopes.rs
@@ -88,7 +88,7 @@
     begin.elapsed().as_secs_f64() * 1e9 / f64::from(count)
 }
 
-/// Growth of the process's resident_bytes memory in bytes per value, when `count` values are made.
+/// Growth of the process's resident memory in bytes per value, when `count` values are made.
 fn growth_per_value<T>(count: u32, make: impl Fn(u32) -> T) -> Result<f64> {
     let before = resident_bytes()?;
     let values: Vec<T> = (0..count).map(make).collect();
--- a/crates/hollyhook_command/src/view/log_view.rs
+++ b/crates/hollyhook_command/src/view/log_view.rs
@@ -68,8 +68,8 @@
 
 /// Prints what happened to a request, from the logs of many hosts.
 ///
-/// The lines of a host are printed in the order in which the host wrote them. Lines of different hosts are not merged by
-/// time, since the hosts' clocks may differ by seconds.
+/// The lines of a host are printed in the order in which the host wrote them. Lines of different hosts are not merged
+/// by time, since the hosts' clocks may differ by seconds.
 pub(crate) fn run_trace(args: &TraceArgs) -> Result<ExitCode> {
     let logs = args.logs.iter().map(|path| read_log(path)).collect::<Result<Vec<HostLog>>>()?;
     let about = logs.iter().flat_map(|log| &log.lines).filter(|line| line.is_about(&args.request));
--- a/crates/hollyhook_command/src/view/trace_view.rs
+++ b/crates/hollyhook_command/src/view/trace_view.rs
@@ -38,8 +38,8 @@
         .await
         .wrap_err("the daemon did not answer the trace request")?;
     let text = text.ok_or_eyre(
-        "the daemon has no trace of this request: it did not relay the request, the request is too old, or `[log] traces` \
-         is off",
+        "the daemon has no trace of this request: it did not relay the request, the request is too old, or `[log] \
+         traces` is off",
     )?;
     if args.raw {
         print!("{text}");
