--- a/crates/hollyhook/src/bin/hollyhookd.rs
+++ b/crates/hollyhook/src/bin/hollyhookd.rs
@@ -88,7 +88,7 @@
         match select(signals.next(), reload_timer).await {
             Either::Left((Some(Ok(Signal::Hup)), _)) | Either::Right(_) => {
                 reload(&gateway, &path, &mut settings);
-                log_unwritten_lines(&log);
+                log_missing_lines(&log);
             }
             Either::Left(_) => break,
         }
@@ -99,9 +99,9 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Logs how many log lines were left out since the last call, by their place in the code, and how many were dropped
-/// since the start.
-fn log_unwritten_lines(log: &LogGuard) {
+/// Logs how many log lines each call site had suppressed since the last call, and how many were dropped since the start
+/// because the output was too slow.
+fn log_missing_lines(log: &LogGuard) {
     for (kind, lines) in log.volume.take_left_out() {
         tracing::warn!(kind = %kind, lines, "log.left_out");
     }
