--- a/crates/hollyhook_settings/src/process/process_settings.rs
+++ b/crates/hollyhook_settings/src/process/process_settings.rs
@@ -34,7 +34,7 @@
     pub peer_listen: SocketAddr,
     /// Number of worker threads.
     pub threads: usize,
-    /// The addresses on which other daemons serve this one.
+    /// The peer addresses of the other daemons.
     pub peers: Vec<SocketAddr>,
     /// The address of the platform; `None` if it uses none.
     pub platform: Option<SocketAddr>,
--- a/crates/hollyhook_settings/src/site/account_settings.rs
+++ b/crates/hollyhook_settings/src/site/account_settings.rs
@@ -13,7 +13,7 @@
     pub name: AccountName,
     /// Digests of its API keys, see [`key_digest`].
     pub keys: Vec<Name>,
-    /// Its weight in the division of the engines among accounts.
+    /// Its configured share of the engines, relative to other accounts.
     pub weight: u64,
 }
 
--- a/crates/hollyhook_settings/src/site/service_settings.rs
+++ b/crates/hollyhook_settings/src/site/service_settings.rs
@@ -139,7 +139,7 @@
     const MIN: Duration = Duration::from_millis(10);
     const MAX: Duration = Duration::from_mins(10);
     let prefix = reader.required("prefix", value::path_prefix);
-    let repeatable = reader.with_default("repeatable", vec!["GET".into(), "HEAD".into()], value::names);
+    let repeatable_methods = reader.with_default("repeatable", vec!["GET".into(), "HEAD".into()], value::names);
     let timeout = reader.with_default("timeout", Duration::from_secs(10), value::duration(MIN, MAX));
-    Some(PlainSettings { prefix: prefix?, repeatable_methods: repeatable, timeout })
+    Some(PlainSettings { prefix: prefix?, repeatable_methods, timeout })
 }
