--- a/crates/hollyhook_core/src/feed/store_contact.rs
+++ b/crates/hollyhook_core/src/feed/store_contact.rs
@@ -60,7 +60,7 @@
 
 impl StoreContact {
     /// Whether the last call failed.
-    pub fn is_away(&self) -> bool {
+    pub fn is_unavailable(&self) -> bool {
         self.lost_at.is_some()
     }
 
@@ -76,7 +76,7 @@
     /// The first failed call in a row used a connection that may have been dead since the last answer; later calls open
     /// their own.
     pub fn note_failure(&mut self, began: TimePoint) {
-        self.lost_at = Some(if self.is_away() { began } else { began.min(self.answered_at) });
+        self.lost_at = Some(if self.is_unavailable() { began } else { began.min(self.answered_at) });
         self.failed_at = began;
         self.failures += 1;
     }
@@ -107,7 +107,7 @@
     /// The connection may have died as soon as the last answer arrived, also while changes were batched (up to 0.8 s)
     /// or other hosts were asked (up to 1.7 s).
     pub fn watch_wait(&self, now: TimePoint, usual: Duration, contact_bound: Duration) -> Duration {
-        if self.is_away() {
+        if self.is_unavailable() {
             return PROBE_WAIT;
         }
         let most = contact_bound.saturating_sub(WATCH_SLACK + READ_MARGIN).saturating_sub(now.since(self.answered_at));
@@ -116,7 +116,7 @@
 
     /// Timeout of a watch that waits for `wait`.
     pub fn watch_timeout(&self, wait: Duration) -> Duration {
-        if self.is_away() { wait + self.call_timeout() } else { wait + WATCH_SLACK }
+        if self.is_unavailable() { wait + self.call_timeout() } else { wait + WATCH_SLACK }
     }
 
     /// Timeout of the next call that is not a watch.
--- a/crates/hollyhook_core/src/forward/answer_verdict.rs
+++ b/crates/hollyhook_core/src/forward/answer_verdict.rs
@@ -104,7 +104,7 @@
 ///
 /// A status that promises "not run" is never passed on from an endpoint: unless the endpoint states that it did not run
 /// the request, the promise may be false.
-pub fn judge_answer(kind: RequestKind, attempt_id: &str, endpoint: &str, head: &AnswerHead) -> AnswerVerdict {
+pub fn evaluate_answer(kind: RequestKind, attempt_id: &str, endpoint: &str, head: &AnswerHead) -> AnswerVerdict {
     let is_foreign = head.attempt_id.as_deref().is_some_and(|id| id != attempt_id);
     if is_foreign || head.is_encoded {
         return AnswerVerdict::Fail(AttemptFailure::Garbled);
--- a/crates/hollyhook_core/src/forward/mod.rs
+++ b/crates/hollyhook_core/src/forward/mod.rs
@@ -4,6 +4,6 @@
 mod attempt_ledger;
 mod caller_head;
 
-pub use answer_verdict::{AnswerHead, AnswerVerdict, AttemptFailure, judge_answer};
+pub use answer_verdict::{AnswerHead, AnswerVerdict, AttemptFailure, evaluate_answer};
 pub use attempt_ledger::{AttemptLedger, StopReason};
 pub use caller_head::{CallerHead, PromptSize};
--- a/crates/hollyhook_core/src/lib.rs
+++ b/crates/hollyhook_core/src/lib.rs
@@ -33,7 +33,7 @@
     SkipReason, StoreContact, StoreRevision, is_helper_stale, snapshot_limit,
 };
 pub use forward::{
-    AnswerHead, AnswerVerdict, AttemptFailure, AttemptLedger, CallerHead, PromptSize, StopReason, judge_answer,
+    AnswerHead, AnswerVerdict, AttemptFailure, AttemptLedger, CallerHead, PromptSize, StopReason, evaluate_answer,
 };
 pub use generation::{
     AttemptNumber, EndReason, EndpointRefusal, GenerationId, GenerationRelay, LatencyEstimator, OpenMode, PrefixDigest,
--- a/crates/hollyhook_core/tests/gateway/answers.rs
+++ b/crates/hollyhook_core/tests/gateway/answers.rs
@@ -1,4 +1,4 @@
-use hollyhook_core::{AnswerHead, AnswerVerdict, AttemptFailure, RequestKind, judge_answer};
+use hollyhook_core::{AnswerHead, AnswerVerdict, AttemptFailure, RequestKind, evaluate_answer};
 
 const KINDS: [RequestKind; 4] = [
     RequestKind::Idempotent,
@@ -12,7 +12,7 @@
 }
 
 fn judge(kind: RequestKind, head: &AnswerHead) -> AnswerVerdict {
-    judge_answer(kind, "r1", "i-1", head)
+    evaluate_answer(kind, "r1", "i-1", head)
 }
 
 #[test]
--- a/crates/hollyhook_core/tests/gateway/contact.rs
+++ b/crates/hollyhook_core/tests/gateway/contact.rs
@@ -52,7 +52,7 @@
 fn note_answer_after_peer_answer() {
     let mut contact = away_since(7_300);
     contact.note_peer_answer(at(8_000));
-    assert!(!contact.is_away());
+    assert!(!contact.is_unavailable());
     assert_eq!(contact.note_answer(at(10_000), CONTACT), None);
     contact.note_failure(at(11_000));
     assert_eq!(contact.note_answer(at(11_100), CONTACT), Some(at(10_250)), "counts from the last answer");
--- a/crates/hollyhook_gateway/src/forward/event_stream.rs
+++ b/crates/hollyhook_gateway/src/forward/event_stream.rs
@@ -5,7 +5,7 @@
 use futures::stream;
 use hollyhook_core::{
     AnswerVerdict, AttemptFailure, AttemptLedger, EndpointId, Error, ErrorKind, EventSequencer, Name, Result,
-    StopReason, judge_answer,
+    StopReason, evaluate_answer,
 };
 use hollyhook_platform::{AttemptHeaders, remove_hop_headers};
 use http::Response;
@@ -264,7 +264,8 @@
         if let Some(load) = response.head.load {
             self.context.endpoints.record_load(slot.id(), load);
         }
-        match judge_answer(self.caller.route.kind, &self.caller.head.attempt_id, &slot.target.entry, &response.head) {
+        match evaluate_answer(self.caller.route.kind, &self.caller.head.attempt_id, &slot.target.entry, &response.head)
+        {
             AnswerVerdict::Pass if response.parts.status.is_success() => {
                 self.first_head.get_or_insert_with(|| response.parts.clone());
                 self.weights = self.weights.or(response.head.weights);
--- a/crates/hollyhook_gateway/src/forward/plain_call.rs
+++ b/crates/hollyhook_gateway/src/forward/plain_call.rs
@@ -3,7 +3,7 @@
 
 use hollyhook_core::{
     AnswerVerdict, AttemptFailure, AttemptLedger, EndpointId, Name, RequestKind, Result, RouteQuery, StopReason,
-    judge_answer,
+    evaluate_answer,
 };
 use hollyhook_platform::AttemptHeaders;
 use http::Response;
@@ -160,7 +160,7 @@
         if let Some(load) = response.head.load {
             self.context.endpoints.record_load(slot.id(), load);
         }
-        let verdict = judge_answer(caller.route.kind, &caller.head.attempt_id, &slot.target.entry, &response.head);
+        let verdict = evaluate_answer(caller.route.kind, &caller.head.attempt_id, &slot.target.entry, &response.head);
         if verdict == AnswerVerdict::Fail(AttemptFailure::Garbled) {
             return CallOutcome::Failure(AttemptFailure::Garbled);
         }
--- a/crates/hollyhook_gateway/src/store/feed_reader.rs
+++ b/crates/hollyhook_gateway/src/store/feed_reader.rs
@@ -230,7 +230,7 @@
     /// An established connection may stay dead while new connections work. If the host first asked two other hosts
     /// (0.25 s each) and waited for the retry delay (0.25 s), it would learn that much later of endpoints that leave.
     async fn fetch_from_store(&mut self, usual_wait: Duration) -> Result<FeedUpdate<StoreObject>, StoreError> {
-        let was_away = self.contact.is_away();
+        let was_away = self.contact.is_unavailable();
         match self.call_store(self.revision, usual_wait).await {
             Err(StoreError::Unavailable(_)) if !was_away => self.call_store(None, usual_wait).await,
             outcome => outcome,
