--- a/crates/hollyhook_core/src/call/call_guard.rs
+++ b/crates/hollyhook_core/src/call/call_guard.rs
@@ -10,7 +10,7 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// No endpoint can take the call now.
+    /// No endpoint can accept the call now.
     Unassigned,
     /// The connection to the endpoint could not be made: no byte was written.
     ConnectFailed,
--- a/crates/hollyhook_core/src/error/error_kind.rs
+++ b/crates/hollyhook_core/src/error/error_kind.rs
@@ -43,7 +43,7 @@
     KeyInProgress,
     /// A newer connection has taken over the generation.
     Superseded,
-    /// No endpoint can take the request now.
+    /// No endpoint can accept the request now.
     NoEndpoint,
     /// The request would not be served in time.
     Overloaded,
--- a/crates/hollyhook_core/src/feed/feed_log.rs
+++ b/crates/hollyhook_core/src/feed/feed_log.rs
@@ -28,8 +28,8 @@
 const MAX_GAPS: usize = 32;
 
 /// Most hosts that may have passed an update on before this host passes it on too: a leader updates relays, and relays
-/// update followers. Each host increments the count, so that hosts that ask each other in a circle soon refuse, and
-/// notice that the store is away.
+/// update followers. Each receiving host increments the count, so that hosts that ask each other in a circle soon
+/// refuse, and notice that the store is unavailable.
 const MAX_HOPS: u32 = 1;
 
 /// A change of one object.
@@ -50,9 +50,10 @@
     pub changes: Vec<FeedChange<T>>,
     /// The store's revision up to which the update is complete.
     pub revision: StoreRevision,
-    /// Time until which the store is known to hold no change beyond this update.
+    /// Time until which the store is known to have held no change beyond this update.
     pub confirmed_until: TimePoint,
-    /// Start of the grace period in which entries that lapsed while the store was away may be registered again.
+    /// Start of the grace period in which entries that lapsed while the store was unavailable may be registered again;
+    /// `None` if there was no such outage.
     pub grace_start: Option<TimePoint>,
     /// Hosts that passed the update on; zero if it comes from the store.
     pub hops: u32,
@@ -131,7 +132,7 @@
 
     /// Applies an update from the store or from another host.
     pub fn apply(&mut self, update: &FeedUpdate<T>) {
-        // An update from before the store was restored must not replace anything that the store stated since.
+        // An update from before the store was restored must not replace what the store returned since.
         if update.revision.era < self.revision.era {
             return;
         }
@@ -180,7 +181,7 @@
 
     /// Whether all changes after a revision are known.
     ///
-    /// They are not for a revision inside a gap. A peer at such a revision, updated by another host, may have objects
+    /// For a revision inside a gap, they are not: a peer that another host updated to such a revision may have objects
     /// that were created and removed within the gap and, if the store was restored from an older copy, changes that
     /// were lost.
     fn is_known_from(&self, revision: StoreRevision) -> bool {
--- a/crates/hollyhook_core/src/feed/feed_timing.rs
+++ b/crates/hollyhook_core/src/feed/feed_timing.rs
@@ -12,8 +12,8 @@
 const LIST_WAIT: Duration = Duration::from_millis(1_500);
 /// Time to send a list of ten thousand endpoints over the link of a small host, and to parse it on an eighth of a core.
 const LIST_TRANSFER: Duration = Duration::from_secs(2);
-/// Time to read the store, and to send requests that were just placed, after the last source timed out: a list of 326
-/// endpoints arrives within 0.05 s, and a request may wait for its connection for 0.25 s.
+/// Time to read the store, and to send requests whose endpoint was just chosen, after the last source timed out: 326
+/// endpoints are listed within 0.05 s, and a request may wait for its connection for 0.25 s.
 const READ_AND_SEND: Duration = Duration::from_millis(300);
 /// How long a leader that has read changes waits before its next watch, so that one call returns many changes.
 const LEADER_BATCH_DELAY: Duration = Duration::from_millis(350);
@@ -21,11 +21,11 @@
 const CALL_MARGIN: Duration = Duration::from_millis(200);
 /// Lower bound of the age at which a leader's copy is stale. Below it, no time would be left to wait for changes.
 const MIN_STALE_AGE: Duration = Duration::from_millis(1_250);
-/// Upper bound of that age. A copy that was passed on twice is up to 1.2 s older, and API keys that may outlive their
-/// end by 5 s are accepted for 3.75 s without confirmation.
+/// Upper bound of that age. A copy that was passed on twice is up to 1.2 s older, and API keys that must be refused
+/// within 5 s of their revocation are accepted for 3.75 s without confirmation.
 const MAX_STALE_AGE: Duration = Duration::from_millis(1_750);
 
-/// How long hosts wait for each other and for the store, and how old a copy may be that they accept from each other.
+/// How long hosts wait for each other and for the store, and the maximum age of a copy that they accept from each other.
 ///
 /// All times follow from the bound within which a host must act on a change that the store acknowledged. A leader may
 /// lose the store just before a change. A host that asks this leader detects that its copy is stale at most
@@ -95,14 +95,14 @@
 
     /// Whether another host's copy of this age is too old to use, after `hops` hosts passed it on to that host.
     ///
-    /// Each of them may have waited for changes meanwhile, which the limit allows for.
+    /// The limit allows for the time that each of these hosts may have waited for changes.
     pub fn is_stale(&self, age: Duration, hops: u32) -> bool {
         age > self.stale_age.saturating_add((PEER_WAIT + PEER_SLACK).saturating_mul(hops))
     }
 }
 
-/// Greatest age of the copy of a helper, a host that is asked because the store does not answer. A helper reads the
-/// store for itself and confirms endpoints every three seconds at the latest; the asking host has nothing newer.
+/// Maximum age of the copy of a helper, a host that is asked because the store does not answer. A helper reads the store
+/// for itself and confirms endpoints every three seconds at the latest; the asking host has no newer copy.
 const MAX_HELPER_AGE: Duration = Duration::from_millis(3_500);
 
 /// Whether a helper's copy is too old for a host that the store does not answer.
--- a/crates/hollyhook_core/src/feed/feed_topology.rs
+++ b/crates/hollyhook_core/src/feed/feed_topology.rs
@@ -7,7 +7,7 @@
 use crate::{Name, TimePoint, ZoneName};
 
 /// Fewest hosts of a zone that share what they read from the store. In smaller zones, as at sites of 7 or 8 hosts, the
-/// calls that sharing saves are not worth another thing that can fail.
+/// calls that sharing saves are not worth an additional point of failure.
 const MIN_SHARING_HOSTS: usize = 6;
 /// Hosts of a zone that receive changes first: the reader, and a standby that asks the reader and reads the store
 /// itself when the reader is lost. Two readers would double the calls, and recover from a loss only about a second
@@ -23,7 +23,7 @@
 /// Helpers from this host's zone, and from all other zones together, that are asked when the store does not answer. In
 /// a full outage all of them answer that they have nothing newer, and other hosts are asked the next time.
 const HELPERS_PER_GROUP: usize = 1;
-/// How long a host whose answer was of no use is skipped; it may be cut off, stopped or removed.
+/// How long a host that gave no usable answer is skipped; the host may be cut off, stopped or removed.
 const SKIP_TIME: Duration = Duration::from_secs(8);
 
 /// Why a host is skipped.
@@ -156,12 +156,12 @@
         self.skipped.get(host).is_some_and(|skipped| now < skipped.until)
     }
 
-    /// Skips a host, as a source and as a helper, whose answer as a source was of no use.
+    /// Skips a host, as a source and as a helper, that gave no usable answer as a source.
     pub fn skip_source(&mut self, now: TimePoint, host: &Name, reason: SkipReason) {
         self.skipped.insert(Name::clone(host), SkippedHost { until: now + SKIP_TIME, reason });
     }
 
-    /// Skips a host whose answer as a helper was of no use: as a helper only if its copy was stale, otherwise entirely.
+    /// Skips a host that gave no usable answer as a helper: only as a helper if its copy was stale, otherwise entirely.
     pub fn skip_helper(&mut self, now: TimePoint, host: &Name, reason: SkipReason) {
         match reason {
             SkipReason::Failed => self.skip_source(now, host, reason),
@@ -174,8 +174,8 @@
     /// Makes stale hosts usable as sources again, because the store does not answer this host either and they are not
     /// at fault. As helpers they stay skipped.
     ///
-    /// Otherwise each host would, in an outage, soon skip all others, become the reader by its own plan, and read the
-    /// store for itself until `SKIP_TIME` after the outage.
+    /// Otherwise, in an outage, each host would soon skip all others, so that its own plan makes it the reader, and
+    /// would read the store for itself until `SKIP_TIME` after the outage.
     pub fn restore_stale_sources(&mut self) {
         let stale = self.skipped.extract_if(.., |_, skipped| skipped.reason == SkipReason::Stale);
         self.stale_helpers.extend(stale.map(|(host, skipped)| (host, skipped.until)));
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Whether the zone is so large that the leaders update relays, and these the other hosts.
+    /// Whether the zone is so large that the leaders update relays, and the relays update the other hosts.
     pub fn has_relays(&self) -> bool {
         self.relay_count() > 0
     }
--- a/crates/hollyhook_core/src/feed/store_contact.rs
+++ b/crates/hollyhook_core/src/feed/store_contact.rs
@@ -6,21 +6,22 @@
 const WATCH_SLACK: Duration = Duration::from_millis(800);
 /// Time to read all objects again after a call timed out. Larger sites read several pages.
 const READ_MARGIN: Duration = Duration::from_millis(250);
-/// How long before the host counts as in contact again, entries still missing are removed: a request that was placed
-/// just before may wait for a connection to its endpoint for 0.25 s, and the list may arrive [`READ_MARGIN`] later.
+/// Time between the removal of entries that are still missing and the moment from which the host counts as in contact
+/// again: a request whose endpoint was chosen just before the removal may wait for its connection for 0.25 s, and the
+/// list may arrive [`READ_MARGIN`] later.
 const SEND_MARGIN: Duration = Duration::from_millis(500);
-/// How long a watch waits while the store is away: any answer shows that the store is back, and is needed at once.
+/// How long a watch waits while the store is unavailable: any answer shows that the store is back, and is needed at once.
 const PROBE_WAIT: Duration = Duration::from_millis(50);
-/// Least time between the starts of two calls while the store is away.
+/// Minimum time between the starts of two calls while the store is unavailable.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// Least time between the starts of two calls while the store is away, at a host that asks other hosts first, as a
-/// fraction of the contact bound. With the two questions to other hosts before it, of 0.6 s each, and a call of 1.5 s,
-/// the host still reads the store itself within the bound if the other hosts can't answer.
+/// Minimum time between the starts of two calls while the store is unavailable, at a host that asks other hosts first, as
+/// a fraction of the contact bound. After two requests to other hosts, of 0.6 s each, and a call of 1.5 s, the host still
+/// reads the store itself within the bound if the other hosts can't answer.
 const FOLLOWER_RETRY_FRACTION: f64 = 0.25;
 /// Timeouts of calls other than watches, used in turn according to the number of failed calls in a row. While the store
-/// is away, short timeouts detect its return sooner: the grace period of lapsed entries counts from the last failed
-/// call, so that 1.5 s for each call would leave them 1 s to be registered again, where up to 2 s are needed. Every
-/// third call waits longer, for a store that answers slowly.
+/// is unavailable, short timeouts detect its return sooner: the grace period of lapsed entries counts from the last
+/// failed call, so that 1.5 s for each call would leave the entries 1 s to be registered again, where up to 2 s are
+/// needed. Every third call waits longer, for a store that answers slowly.
 const CALL_TIMEOUTS: [Duration; 3] =
     [Duration::from_millis(1_500), Duration::from_millis(700), Duration::from_millis(700)];
 
@@ -29,7 +30,7 @@
 /// A host that was cut off counts as in contact again one contact bound after its path to the store was restored, and
 /// by then must have acted on everything that the store acknowledged meanwhile. The host can't know when the path was
 /// restored; it knows when the last answer arrived, and when the last failed call began. All times here therefore count
-/// from these: a host that counted from when it noticed the return would send requests to endpoints that left longer
+/// from these two: a host that counted from when it noticed the return would send requests to endpoints that left longer
 /// ago than the bound.
 ///
 /// ```
@@ -40,15 +41,16 @@
 /// let mut contact = StoreContact::default();
 /// contact.note_peer_answer(TimePoint::from_millis(1_000));
 /// contact.note_failure(TimePoint::from_millis(1_000));
-/// // A call of one second: a missing entry may have lapsed just before its end, or been removed two seconds before it.
+/// // The contact may have been lost at 1 s, so the host counts as in contact again at 4 s. The grace period, of 2.25 s,
+/// // therefore ends at 3.5 s.
 /// let grace_start = contact.note_answer(TimePoint::from_millis(2_000), bound);
 /// assert_eq!(grace_start, Some(TimePoint::from_millis(1_250)));
-/// assert!(!contact.is_away());
+/// assert!(!contact.is_unavailable());
 /// ```
 #[derive(Debug, Default)]
 pub struct StoreContact {
-    /// Earliest time at which the host may have lost the store, as far as the last failed call shows; `None` if the
-    /// last call was answered.
+    /// Earliest time at which the host may have lost contact with the store, as far as the last failed call shows;
+    /// `None` if the last call was answered.
     lost_at: Option<TimePoint>,
     /// When the last failed call began.
     failed_at: TimePoint,
@@ -81,7 +83,7 @@
         self.failures += 1;
     }
 
-    /// Records an answer of the store; if the store was away, returns when the grace period of lapsed entries starts.
+    /// Records an answer of the store; if the last call had failed, returns when the grace period of lapsed entries starts.
     ///
     /// The period starts now, unless the last failed call began so long ago that the host would count as in contact
     /// before the period ends; it then starts earlier.
@@ -95,14 +97,14 @@
     /// Records an answer which shows that the store was restored from an older copy of itself; returns when the grace
     /// period of the entries missing there starts.
     ///
-    /// The store may have been away only for a moment after the last answer, so that no call failed.
+    /// The store may have been unavailable only for a moment after the last answer, so that no call failed.
     pub fn note_restore(&mut self, now: TimePoint, contact_bound: Duration) -> TimePoint {
         self.lost_at = self.lost_at.or(Some(self.answered_at));
         self.note_answer(now, contact_bound).unwrap_or(now)
     }
 
     /// How long the next watch waits: `usual`, or less if a dead connection would be detected too late, or while the
-    /// store is away.
+    /// store is unavailable.
     ///
     /// The connection may have died as soon as the last answer arrived, also while changes were batched (up to 0.8 s)
     /// or other hosts were asked (up to 1.7 s).
@@ -110,8 +112,8 @@
         if self.is_unavailable() {
             return PROBE_WAIT;
         }
-        let most = contact_bound.saturating_sub(WATCH_SLACK + READ_MARGIN).saturating_sub(now.since(self.answered_at));
-        usual.min(most).max(PROBE_WAIT)
+        let limit = contact_bound.saturating_sub(WATCH_SLACK + READ_MARGIN).saturating_sub(now.since(self.answered_at));
+        usual.min(limit).max(PROBE_WAIT)
     }
 
     /// Timeout of a watch that waits for `wait`.
--- a/crates/hollyhook_core/src/forward/answer_verdict.rs
+++ b/crates/hollyhook_core/src/forward/answer_verdict.rs
@@ -19,7 +19,7 @@
     pub is_encoded: bool,
     /// The load that the endpoint reports, if any.
     pub load: Option<LoadReport>,
-    /// The terms on which the endpoint takes requests, as advertised in the answer.
+    /// The terms on which the endpoint accepts requests, as advertised in the answer.
     pub terms: AdvertisedTerms,
 }
 
--- a/crates/hollyhook_core/src/forward/attempt_ledger.rs
+++ b/crates/hollyhook_core/src/forward/attempt_ledger.rs
@@ -18,7 +18,7 @@
     BudgetExhausted,
     /// No endpoint is left to try.
     NoEndpoint,
-    /// Every endpoint that is left has advertised that it takes no more requests for now.
+    /// Every endpoint that is left has advertised that it accepts no more requests for now.
     Throttled,
     /// Even the best endpoint would serve the request after the caller's deadline.
     Overloaded,
--- a/crates/hollyhook_core/src/generation/generation_relay/search.rs
+++ b/crates/hollyhook_core/src/generation/generation_relay/search.rs
@@ -7,7 +7,7 @@
 
 /// Unaccepted attempts after which the search pauses, to limit the rate of connections during an outage.
 const ATTEMPTS_PER_ROUND: u32 = 3;
-/// How often the pause between searches doubles at most.
+/// Maximum number of times that the pause between searches doubles.
 const MAX_PAUSE_DOUBLINGS: u32 = 3;
 
 impl GenerationRelay {
--- a/crates/hollyhook_core/src/generation/relay_action.rs
+++ b/crates/hollyhook_core/src/generation/relay_action.rs
@@ -119,7 +119,7 @@
     StallLeft,
     /// An endpoint refused the attempt.
     RefusalSeen,
-    /// A search found no endpoint that could take the attempt.
+    /// A search found no endpoint that could accept the attempt.
     SearchFailed,
 }
 
--- a/crates/hollyhook_core/src/generation/relay_event.rs
+++ b/crates/hollyhook_core/src/generation/relay_event.rs
@@ -19,7 +19,7 @@
         /// The endpoint found.
         endpoint: EndpointId,
     },
-    /// The search requested by `Assign` found no endpoint that can take the attempt now.
+    /// The search requested by `Assign` found no endpoint that can accept the attempt now.
     Unassigned {
         /// The attempt that the search was for.
         attempt: AttemptNumber,
--- a/crates/hollyhook_core/src/generation/relay_phase.rs
+++ b/crates/hollyhook_core/src/generation/relay_phase.rs
@@ -5,7 +5,7 @@
     Idle,
     /// The driver is searching for an endpoint for the current attempt.
     Assigning,
-    /// After a loss no endpoint took the generation; the next search starts when the timer fires.
+    /// After a loss, no endpoint accepted the generation; the next search starts when the timer fires.
     BackingOff,
     /// The current attempt's connection is being opened, or is open.
     Streaming,
--- a/crates/hollyhook_core/src/name/mod.rs
+++ b/crates/hollyhook_core/src/name/mod.rs
@@ -15,5 +15,5 @@
 /// The name of an availability zone.
 pub type ZoneName = Name;
 
-/// The name of an endpoint, unique across all sites.
+/// The identifier of an endpoint, unique across all sites.
 pub type EndpointId = Name;
--- a/crates/hollyhook_core/src/quarantine/crash_ledger.rs
+++ b/crates/hollyhook_core/src/quarantine/crash_ledger.rs
@@ -6,16 +6,17 @@
 use super::{CrashRecord, RequestDigest};
 use crate::Name;
 
-/// Endpoint crashes from which a request is refused. One or two may coincide with the request by chance.
+/// Number of endpoint crashes from which a request is refused. One or two may coincide with the request by chance.
 const CRASH_THRESHOLD: usize = 3;
-/// Endpoint crashes from which a request that this host still retries is shared with the other hosts.
+/// Number of endpoint crashes from which the record of a request that this host still retries is shared with the other
+/// hosts.
 const SHARE_THRESHOLD: usize = 2;
 /// How long a record is kept after its last update, and so how long a request is refused after the last crash. By then
 /// its endpoints may run another version.
 const RECORD_LIFETIME: Duration = Duration::from_hours(1);
 /// How long records of other hosts about the same crash may take to arrive here.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
-/// Requests with a record, in memory and in the platform's store.
+/// Maximum number of requests with a record, in memory and in the platform's store.
 const MAX_RECORDS: usize = 128;
 
 /// The crash records of all hosts, by request.
@@ -206,7 +207,7 @@
 
     /// The requests with enough crashes that no other request explains.
     ///
-    /// Requests with the same number of crashes are judged together: which of them is the cause is not known until
+    /// Requests with the same number of crashes are treated alike: which of them is the cause is not known until
     /// another endpoint crashes.
     fn find_refused(&self) -> BTreeSet<RequestDigest> {
         let suspects = self.entries.iter().map(|(digest, entry)| {
--- a/crates/hollyhook_core/src/quarantine/request_digest.rs
+++ b/crates/hollyhook_core/src/quarantine/request_digest.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// The text is not a digest.
+/// The error for a text that is not a request digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DigestError;
 
--- a/crates/hollyhook_core/src/quarantine/unanswered_list.rs
+++ b/crates/hollyhook_core/src/quarantine/unanswered_list.rs
@@ -4,7 +4,7 @@
 /// How long after a request was left unanswered a restart of its endpoint, or the removal of the endpoint's entry, is
 /// taken as proof that the endpoint crashed, in milliseconds: three heartbeats plus the lag of the endpoint list.
 const CONFIRM_WINDOW_MS: u64 = 8_000;
-/// Unanswered requests to remember. The loss of a zone leaves about a hundred at each host.
+/// Maximum number of unanswered requests that are remembered. The loss of a zone leaves about a hundred at each host.
 const MAX_REQUESTS: usize = 512;
 
 /// A request that an endpoint left without an answer.
@@ -20,7 +20,8 @@
 
 /// Requests left without an answer by endpoints that are not known to have crashed.
 ///
-/// Links fail too, and endpoints that still run stop answering for a while.
+/// A missing answer does not prove a crash: links fail too, and an endpoint that still runs may stop answering for a
+/// while.
 #[derive(Debug, Default)]
 pub(super) struct UnansweredList {
     requests: Vec<UnansweredRequest>,
--- a/crates/hollyhook_core/src/retry/retry_window.rs
+++ b/crates/hollyhook_core/src/retry/retry_window.rs
@@ -3,7 +3,7 @@
 
 use crate::TimePoint;
 
-/// Buckets that a window is divided into; a bucket expires as a whole.
+/// Number of buckets that a window is divided into; a bucket expires as a whole.
 const BUCKETS: u32 = 20;
 
 /// Limits the retries to one service over a sliding window of time: all sends of a request beyond the first.
--- a/crates/hollyhook_core/src/rollout/mod.rs
+++ b/crates/hollyhook_core/src/rollout/mod.rs
@@ -1,4 +1,4 @@
-//! Roll-outs of another version of a service: which requests get the version during its trial, and how it is judged.
+//! Roll-outs of another version of a service: which requests get the version during its trial, and how the version is evaluated.
 
 mod rollout_order;
 mod rollout_plan;
--- a/crates/hollyhook_core/src/rollout/version_verdict.rs
+++ b/crates/hollyhook_core/src/rollout/version_verdict.rs
@@ -2,7 +2,7 @@
 
 use super::{TimeTally, TrialEvidence, VersionTally};
 
-/// Answers of the target that are needed to judge it good: a version that fails three requests in ten has at most two
+/// Answers of the target that are needed for a good verdict: a version that fails three requests in ten has at most two
 /// failures among these once in 10,000 trials.
 const MIN_ANSWERS: u32 = 40;
 /// Answers of the target that are needed on each route with a major part of the service's answers.
@@ -63,7 +63,7 @@
     Bad(VersionFault),
 }
 
-/// Judges the target of a roll-out by comparing its answers with those of the other versions, as counted by all hosts.
+/// Evaluates the target of a roll-out by comparing its answers with those of the other versions, as counted by all hosts.
 ///
 /// Compares all answers together and those of each route, since a version may fail on one route only. If the target has
 /// several endpoints, a fault has to show without any one of them too, since an endpoint may be faulty by itself. Broken
--- a/crates/hollyhook_core/src/route/endpoint_choice.rs
+++ b/crates/hollyhook_core/src/route/endpoint_choice.rs
@@ -19,8 +19,9 @@
 const SUSPECT_ZONE_COST: f64 = 0.75;
 /// Cost of an endpoint whose answers are all failures, in requests per slot; greater than that of a full endpoint.
 const FAILURE_COST: f64 = 4.0;
-/// Width of the cost bands, in requests per slot, within which the order that all hosts share decides. It is about one
-/// generation, whose prompt delays the first event by less than reading this request's prompt again would.
+/// Width of the cost bands, in requests per slot, within which the order that all hosts share decides. The width is about
+/// the load of one generation: waiting for that generation's prompt delays the first event by less than reading this
+/// request's prompt again at another endpoint would.
 const COST_STEP: f64 = 0.12;
 /// The number of endpoints sampled at random from the host's own zone, and again from the other zones; the cheapest is
 /// chosen.
@@ -28,7 +29,7 @@
 /// With a sample of two, some endpoints are full while others have free slots; without sampling, all hosts with the
 /// same reports would choose the same endpoint. A single sample of many zones would often contain no endpoint of the
 /// own zone. If the own zone has fewer endpoints than this, one sample is taken from all zones together: otherwise, an
-/// endpoint of the own zone that has just ended would be in every sample.
+/// endpoint of the own zone that has just stopped would be in every sample.
 const SAMPLE_SIZE: usize = 4;
 /// By how many requests a preferred endpoint may be busier than others and still be chosen.
 const PREFERRED_ALLOWANCE: f64 = 1.1;
--- a/crates/hollyhook_core/src/route/endpoint_record.rs
+++ b/crates/hollyhook_core/src/route/endpoint_record.rs
@@ -62,7 +62,7 @@
     /// The number of requests that this host sent within the last [`MAX_REPORT_AGE`](super::MAX_REPORT_AGE) before this
     /// copy of the record was made; zero in the table itself.
     pub sent_recently: u32,
-    /// The usual gaps between events in the endpoint's streams, measured over all streams of this host.
+    /// Estimates the latency of the endpoint's first and later tokens, over all streams of this host.
     pub latency_estimator: LatencyEstimator,
     /// The share of the endpoint's answers that were failures of its own.
     pub(super) errors: FailureRecord,
@@ -132,9 +132,9 @@
 
     /// Whether this record replaces `other`: it has the same entry name or address and was registered or started later.
     pub(super) fn supersedes(&self, other: &Self) -> bool {
-        let is_same_place = self.address == other.address || self.entry == other.entry;
+        let is_same_entry_or_address = self.address == other.address || self.entry == other.entry;
         let is_later = (other.registered, other.started) < (self.registered, self.started);
-        self.id != other.id && is_same_place && is_later
+        self.id != other.id && is_same_entry_or_address && is_later
     }
 
     /// The expected load in requests per slot: the reported requests and those that this host has sent since.
--- a/crates/hollyhook_core/src/route/endpoint_table.rs
+++ b/crates/hollyhook_core/src/route/endpoint_table.rs
@@ -13,6 +13,7 @@
 
 /// Default cost of an endpoint of another zone, in requests per slot.
 const ZONE_PREFERENCE: f64 = 0.25;
+
 /// The endpoints that this host knows; [`choose`](Self::choose) selects one of them for a request.
 #[derive(Debug)]
 pub struct EndpointTable {
@@ -53,8 +54,8 @@
     /// Adds an endpoint or updates its service, state, weights and version, and returns its record.
     ///
     /// Its load and failures are kept if its address is unchanged; otherwise the new record replaces the old one. An
-    /// endpoint that announced that it is leaving stays in that state: its entry may be older, or be restored from an
-    /// older copy.
+    /// endpoint that announced that it is leaving stays in that state: its entry may predate the announcement, or come
+    /// from an older copy that the store was restored from.
     pub fn upsert(&mut self, mut record: EndpointRecord) -> &EndpointRecord {
         let id = EndpointId::clone(&record.id);
         if self.terms.is_leaving(&id) {
@@ -94,8 +95,8 @@
         true
     }
 
-    /// The endpoints that a registration proves to be gone: earlier registrations of its address, and earlier starts of
-    /// its entry.
+    /// The endpoints that a registration proves to be gone: earlier registrations of its address, and earlier
+    /// incarnations of its entry.
     ///
     /// Their entries expire only seconds later; until then, the endpoint that now listens at their address would answer
     /// in their place.
@@ -104,7 +105,8 @@
         earlier.map(|known| EndpointId::clone(&known.id)).collect()
     }
 
-    /// Whether a later registration of the same entry or address, for a service that `is_known`, has replaced this one.
+    /// Whether a later registration of the same entry or address has replaced this one; registrations for a service for
+    /// which `is_known` returns false don't count.
     pub fn is_displaced(&self, record: &EndpointRecord, is_known: impl Fn(&str) -> bool) -> bool {
         self.same_entry_or_address(record).any(|known| known.supersedes(record) && is_known(&known.service))
     }
@@ -159,8 +161,8 @@
         &mut self.terms
     }
 
-    /// The entry in which hosts share crash records: that of a live endpoint, and the same at all hosts that know the
-    /// same live endpoints.
+    /// The registration entry in which hosts share crash records: the entry of one live endpoint, the same at all hosts
+    /// that know the same live endpoints.
     pub fn crash_record_entry(&self) -> Option<Name> {
         let live = self.iter().filter(|record| record.state == EndpointState::Live);
         let entry = live.map(|record| &record.entry).max_by_key(|entry| rendezvous_weight(CRASH_RECORD_KEY, entry));
--- a/crates/hollyhook_core/src/route/name_interner.rs
+++ b/crates/hollyhook_core/src/route/name_interner.rs
@@ -3,7 +3,7 @@
 
 use crate::Name;
 
-/// Number of names from which unused names are removed before another one is added. More names than this are in use
+/// Number of names from which unused names are removed before another name is added. More names than this are in use
 /// only if entries are written by others than endpoints.
 const PRUNE_THRESHOLD: usize = 1_024;
 
--- a/crates/hollyhook_core/src/route/route_query.rs
+++ b/crates/hollyhook_core/src/route/route_query.rs
@@ -60,7 +60,7 @@
         self
     }
 
-    /// Requires endpoints of versions that a rule allows.
+    /// Requires endpoints that a version filter allows.
     #[must_use]
     pub fn versions(mut self, filter: &'a VersionFilter) -> Self {
         self.versions = Some(filter);
--- a/crates/hollyhook_core/src/terms/advertised_terms.rs
+++ b/crates/hollyhook_core/src/terms/advertised_terms.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-/// The terms on which an endpoint takes requests, as one of its answers advertises them.
+/// The terms on which an endpoint accepts requests, as one of its answers advertises them.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct AdvertisedTerms {
     /// The rate limit for all hosts together, in requests per second; `None` if the answer states no limit.
--- a/crates/hollyhook_core/src/terms/mod.rs
+++ b/crates/hollyhook_core/src/terms/mod.rs
@@ -1,4 +1,4 @@
-//! The terms on which endpoints take requests, as they advertise them in their answers.
+//! The terms on which endpoints accept requests, as they advertise them in their answers.
 
 mod advertised_terms;
 mod rate_share;
--- a/crates/hollyhook_core/src/terms/terms_table.rs
+++ b/crates/hollyhook_core/src/terms/terms_table.rs
@@ -10,7 +10,7 @@
 /// next answer.
 const RETENTION: Duration = Duration::from_mins(10);
 
-/// The terms on which endpoints take requests, as each endpoint last advertised them.
+/// The terms on which endpoints accept requests, as each endpoint last advertised them.
 ///
 /// Kept apart from the platform's list of endpoints, whose entries may be older than an endpoint's own answers, and may
 /// be removed and added again.
--- a/crates/hollyhook_core/tests/gateway/contact.rs
+++ b/crates/hollyhook_core/tests/gateway/contact.rs
@@ -16,7 +16,7 @@
 }
 
 /// The contact with a store whose only failed call began at `began`, at the time of the last answer.
-fn away_since(began: u64) -> StoreContact {
+fn unavailable_since(began: u64) -> StoreContact {
     failed_after(began, began)
 }
 
@@ -36,7 +36,7 @@
 /// The last call failed only 0.2 s ago: the grace period starts now.
 #[test]
 fn note_answer_after_recent_failure() {
-    assert_eq!(away_since(9_800).note_answer(at(10_000), CONTACT), Some(at(10_000)));
+    assert_eq!(unavailable_since(9_800).note_answer(at(10_000), CONTACT), Some(at(10_000)));
 }
 
 /// The first failed call used a connection that may have been dead since the last answer, so that the network may have
@@ -50,7 +50,7 @@
 /// An answer of another host since the loss makes up for the lost updates.
 #[test]
 fn note_answer_after_peer_answer() {
-    let mut contact = away_since(7_300);
+    let mut contact = unavailable_since(7_300);
     contact.note_peer_answer(at(8_000));
     assert!(!contact.is_unavailable());
     assert_eq!(contact.note_answer(at(10_000), CONTACT), None);
@@ -69,7 +69,7 @@
 /// Only this host may have been cut off, until just after the call began.
 #[test]
 fn note_answer_after_hung_call() {
-    let mut contact = away_since(7_300);
+    let mut contact = unavailable_since(7_300);
     assert_eq!(contact.note_answer(at(10_000), CONTACT), Some(at(7_550)));
     assert_eq!(contact.note_answer(at(10_010), CONTACT), None, "returned once");
 }
@@ -80,7 +80,7 @@
 fn note_answer_grace_over_before_contact() {
     for bound in [3_000, 4_000, 5_000] {
         for answered in (8_000..14_000).step_by(50) {
-            let grace_start = away_since(8_000).note_answer(at(answered), millis(bound)).unwrap();
+            let grace_start = unavailable_since(8_000).note_answer(at(answered), millis(bound)).unwrap();
             let removed_at = (grace_start + EndpointMembership::RECOVERY_GRACE).max(at(answered));
             let due = at(8_000) + millis(bound - 500);
             assert!(removed_at <= due.max(at(answered)), "answered at {answered}, kept until {removed_at:?}");
@@ -91,7 +91,7 @@
 /// A contact bound shorter than the grace period gives a start in the past, clamped to zero, rather than a panic.
 #[test]
 fn note_answer_with_short_bound() {
-    assert_eq!(away_since(100).note_answer(at(200), millis(500)), Some(TimePoint::ZERO));
+    assert_eq!(unavailable_since(100).note_answer(at(200), millis(500)), Some(TimePoint::ZERO));
 }
 
 /// A watch without an answer times out, and a list is read, before the host counts as in contact.
@@ -119,10 +119,10 @@
     }
 }
 
-/// While the store is away, a watch does not wait for changes, so that its return is detected at once.
+/// While the store is unavailable, a watch does not wait for changes, so that the store's return is detected at once.
 #[test]
-fn watch_wait_while_away() {
-    let contact = away_since(9_000);
+fn watch_wait_while_unavailable() {
+    let contact = unavailable_since(9_000);
     assert!(contact.watch_wait(at(9_700), USUAL, CONTACT) <= millis(100));
 }
 
@@ -145,7 +145,7 @@
 /// The delay counts from the start of the failed call, so that none follows a call that hung.
 #[test]
 fn retry_delay_from_start_of_call() {
-    assert_eq!(away_since(9_000).retry_delay(at(9_010)), millis(240));
-    assert_eq!(away_since(9_000).retry_delay(at(9_700)), Duration::ZERO);
+    assert_eq!(unavailable_since(9_000).retry_delay(at(9_010)), millis(240));
+    assert_eq!(unavailable_since(9_000).retry_delay(at(9_700)), Duration::ZERO);
     assert_eq!(StoreContact::default().retry_delay(at(9_000)), Duration::ZERO, "nothing failed");
 }
