--- a/crates/hollyhook_core/src/feed/feed_timing.rs
+++ b/crates/hollyhook_core/src/feed/feed_timing.rs
@@ -25,7 +25,7 @@
 /// within 5 s of their revocation are accepted for 3.75 s without confirmation.
 const MAX_STALE_AGE: Duration = Duration::from_millis(1_750);
 
-/// How long hosts wait for each other and for the store, and the maximum age of a copy that they accept from each other.
+/// How long hosts wait for each other and for the store, and the maximum age of the copies that they accept.
 ///
 /// All times follow from the bound within which a host must act on a change that the store acknowledged. A leader may
 /// lose the store just before a change. A host that asks this leader detects that its copy is stale at most
@@ -101,8 +101,8 @@
     }
 }
 
-/// Maximum age of the copy of a helper, a host that is asked because the store does not answer. A helper reads the store
-/// for itself and confirms endpoints every three seconds at the latest; the asking host has no newer copy.
+/// Maximum age of the copy of a helper, a host that is asked because the store does not answer. A helper reads the
+/// store for itself and confirms endpoints every three seconds at the latest; the asking host has no newer copy.
 const MAX_HELPER_AGE: Duration = Duration::from_millis(3_500);
 
 /// Whether a helper's copy is too old for a host that the store does not answer.
--- a/crates/hollyhook_core/src/feed/store_contact.rs
+++ b/crates/hollyhook_core/src/feed/store_contact.rs
@@ -10,13 +10,13 @@
 /// again: a request whose endpoint was chosen just before the removal may wait for its connection for 0.25 s, and the
 /// list may arrive [`READ_MARGIN`] later.
 const SEND_MARGIN: Duration = Duration::from_millis(500);
-/// How long a watch waits while the store is unavailable: any answer shows that the store is back, and is needed at once.
+/// How long a watch waits while the store is unavailable: any answer shows its return, and is needed at once.
 const PROBE_WAIT: Duration = Duration::from_millis(50);
 /// Minimum time between the starts of two calls while the store is unavailable.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// Minimum time between the starts of two calls while the store is unavailable, at a host that asks other hosts first, as
-/// a fraction of the contact bound. After two requests to other hosts, of 0.6 s each, and a call of 1.5 s, the host still
-/// reads the store itself within the bound if the other hosts can't answer.
+/// Minimum time between the starts of two calls while the store is unavailable, at a host that asks other hosts first,
+/// as a fraction of the contact bound. After two requests to other hosts, of 0.6 s each, and a call of 1.5 s, the host
+/// still reads the store itself within the bound if the other hosts can't answer.
 const FOLLOWER_RETRY_FRACTION: f64 = 0.25;
 /// Timeouts of calls other than watches, used in turn according to the number of failed calls in a row. While the store
 /// is unavailable, short timeouts detect its return sooner: the grace period of lapsed entries counts from the last
@@ -30,8 +30,8 @@
 /// A host that was cut off counts as in contact again one contact bound after its path to the store was restored, and
 /// by then must have acted on everything that the store acknowledged meanwhile. The host can't know when the path was
 /// restored; it knows when the last answer arrived, and when the last failed call began. All times here therefore count
-/// from these two: a host that counted from when it noticed the return would send requests to endpoints that left longer
-/// ago than the bound.
+/// from these two: a host that counted from when it noticed the return would send requests to endpoints that left
+/// longer ago than the bound.
 ///
 /// ```
 /// use hollyhook_core::{StoreContact, TimePoint};
@@ -41,8 +41,8 @@
 /// let mut contact = StoreContact::default();
 /// contact.note_peer_answer(TimePoint::from_millis(1_000));
 /// contact.note_failure(TimePoint::from_millis(1_000));
-/// // The contact may have been lost at 1 s, so the host counts as in contact again at 4 s. The grace period, of 2.25 s,
-/// // therefore ends at 3.5 s.
+/// // The contact may have been lost at 1 s, so the host counts as in contact again at 4 s. The grace period of 2.25 s
+/// // therefore starts early enough to end 0.5 s before that.
 /// let grace_start = contact.note_answer(TimePoint::from_millis(2_000), bound);
 /// assert_eq!(grace_start, Some(TimePoint::from_millis(1_250)));
 /// assert!(!contact.is_unavailable());
@@ -83,7 +83,7 @@
         self.failures += 1;
     }
 
-    /// Records an answer of the store; if the last call had failed, returns when the grace period of lapsed entries starts.
+    /// Records an answer of the store; after a failed call, returns when the grace period of lapsed entries starts.
     ///
     /// The period starts now, unless the last failed call began so long ago that the host would count as in contact
     /// before the period ends; it then starts earlier.
--- a/crates/hollyhook_core/src/generation/generation_relay/loss.rs
+++ b/crates/hollyhook_core/src/generation/generation_relay/loss.rs
@@ -75,9 +75,9 @@
 
     /// Moves the generation off its current endpoint, and searches for another one.
     ///
-    /// `must_cancel` is false if the endpoint did not accept the attempt. This counts as a loss only if tokens have been
-    /// delivered: otherwise, if there is no other endpoint, the caller gets the error at once, not at the end of the
-    /// resume window.
+    /// `must_cancel` is false if the endpoint did not accept the attempt. This counts as a loss only if tokens have
+    /// been delivered: otherwise, if there is no other endpoint, the caller gets the error at once, not at the end of
+    /// the resume window.
     pub(super) fn fail_over(&mut self, now: TimePoint, must_cancel: bool) {
         if must_cancel || self.delivered > 0 {
             self.mark_lost(now);
--- a/crates/hollyhook_core/src/rollout/mod.rs
+++ b/crates/hollyhook_core/src/rollout/mod.rs
@@ -1,4 +1,4 @@
-//! Roll-outs of another version of a service: which requests get the version during its trial, and how the version is evaluated.
+//! Roll-outs of another version of a service: the requests that get the version on trial, and the verdict on it.
 
 mod rollout_order;
 mod rollout_plan;
--- a/crates/hollyhook_core/src/rollout/version_verdict.rs
+++ b/crates/hollyhook_core/src/rollout/version_verdict.rs
@@ -63,11 +63,11 @@
     Bad(VersionFault),
 }
 
-/// Evaluates the target of a roll-out by comparing its answers with those of the other versions, as counted by all hosts.
+/// Evaluates the target of a roll-out by comparing the answers that all hosts counted with those of the other versions.
 ///
 /// Compares all answers together and those of each route, since a version may fail on one route only. If the target has
-/// several endpoints, a fault has to show without any one of them too, since an endpoint may be faulty by itself. Broken
-/// connections are not counted as answers: a whole zone loses them at once.
+/// several endpoints, a fault has to show without any one of them too, since an endpoint may be faulty by itself.
+/// Broken connections are not counted as answers: a whole zone loses them at once.
 pub fn evaluate_version(evidence: &TrialEvidence) -> VersionVerdict {
     let routes = evidence.routes();
     let slices =
--- a/crates/hollyhook_core/src/route/endpoint_choice.rs
+++ b/crates/hollyhook_core/src/route/endpoint_choice.rs
@@ -19,9 +19,9 @@
 const SUSPECT_ZONE_COST: f64 = 0.75;
 /// Cost of an endpoint whose answers are all failures, in requests per slot; greater than that of a full endpoint.
 const FAILURE_COST: f64 = 4.0;
-/// Width of the cost bands, in requests per slot, within which the order that all hosts share decides. The width is about
-/// the load of one generation: waiting for that generation's prompt delays the first event by less than reading this
-/// request's prompt again at another endpoint would.
+/// Width of the cost bands, in requests per slot, within which the order that all hosts share decides. The width is
+/// about the load of one generation: waiting for that generation's prompt delays the first event by less than reading
+/// this request's prompt again at another endpoint would.
 const COST_STEP: f64 = 0.12;
 /// The number of endpoints sampled at random from the host's own zone, and again from the other zones; the cheapest is
 /// chosen.
--- a/crates/hollyhook_core/src/route/endpoint_table.rs
+++ b/crates/hollyhook_core/src/route/endpoint_table.rs
@@ -105,8 +105,9 @@
         earlier.map(|known| EndpointId::clone(&known.id)).collect()
     }
 
-    /// Whether a later registration of the same entry or address has replaced this one; registrations for a service for
-    /// which `is_known` returns false don't count.
+    /// Whether a later registration of the same entry or address has replaced this one.
+    ///
+    /// Registrations for a service for which `is_known` returns false don't count.
     pub fn is_displaced(&self, record: &EndpointRecord, is_known: impl Fn(&str) -> bool) -> bool {
         self.same_entry_or_address(record).any(|known| known.supersedes(record) && is_known(&known.service))
     }
--- a/crates/hollyhook_core/src/stream/liveness_checker.rs
+++ b/crates/hollyhook_core/src/stream/liveness_checker.rs
@@ -6,8 +6,8 @@
 /// Events that an engine may have produced but that are still in flight, given that its report is a few hundred
 /// milliseconds old and that the stream was silent for longer.
 const MAX_EVENTS_IN_FLIGHT: u64 = 3;
-/// Reports between two received events after which the run counts as stalled: none of them shows more events than may be
-/// in flight.
+/// Reports between two received events after which the run counts as stalled: none of them shows more events than may
+/// be in flight.
 const MAX_STALLED_REPORTS: u32 = 3;
 /// Reports after which a request that is still waiting for its prompt to be processed is given up; about ten seconds.
 /// This is only an upper bound, since another engine would have to process the prompt from the start.
--- a/crates/hollyhook_core/tests/fuzz/cursor_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/cursor_fuzz.rs
@@ -32,7 +32,7 @@
     let rotated =
         CursorSeal::new(&CursorKey::new([8; 32]), Duration::from_secs(MAX_AGE)).previous_key(&CursorKey::new([7; 32]));
     let inputs = (any::<u128>(), any::<u64>(), "[a-z0-9-]{0,20}", 0..2_000_u64, any::<(usize, u8)>(), 0..2_000_u64);
-    fuzz("cursor", 2_000, &inputs, |(bits, position, endpoint, made_at, (place, change), later)| {
+    fuzz("cursor", 2_000, &inputs, |(bits, position, endpoint, made_at, (index, change), later)| {
         let sealed_cursor = cursor(bits, position, &endpoint, made_at);
         let mut rng = Pcg64::seed_from_u64(bits as u64);
         let sealed = seal.seal("office", &sealed_cursor, &mut rng);
@@ -48,12 +48,12 @@
         assert_eq!(refusal.kind(), ErrorKind::CursorInvalid);
         assert_eq!(foreign.open("office", &sealed, now).unwrap_err(), refusal);
         let mut altered = sealed.clone().into_bytes();
-        let place = place % altered.len();
-        altered[place] = b'A' + change % 26;
+        let index = index % altered.len();
+        altered[index] = b'A' + change % 26;
         let altered = String::from_utf8(altered).unwrap();
         if altered != sealed {
             assert_eq!(seal.open("office", &altered, now).unwrap_err(), refusal);
         }
-        assert_eq!(seal.open("office", &sealed[..place], now).unwrap_err(), refusal);
+        assert_eq!(seal.open("office", &sealed[..index], now).unwrap_err(), refusal);
     });
 }
--- a/crates/hollyhook_core/tests/fuzz/store_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/store_fuzz.rs
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Sends a host's question to the store, which leaders always ask, or to a host before it in the chain.
+    /// Sends a host's request to the store, which leaders always ask, or to a host before it in the chain.
     fn ask(&mut self, host: usize, source: usize) {
         let asked_from = self.hosts[host].revision;
         if self.hosts[host].pending.is_some() {
--- a/crates/hollyhook_core/tests/gateway/answers.rs
+++ b/crates/hollyhook_core/tests/gateway/answers.rs
@@ -11,28 +11,28 @@
     AnswerHead { status, attempt_id: Some("r1".into()), is_signed: true, ..AnswerHead::default() }
 }
 
-fn judge(kind: RequestKind, head: &AnswerHead) -> AnswerVerdict {
+fn evaluate(kind: RequestKind, head: &AnswerHead) -> AnswerVerdict {
     evaluate_answer(kind, "r1", "i-1", head)
 }
 
 #[test]
-fn judge_success() {
+fn evaluate_success() {
     for kind in KINDS {
-        assert_eq!(judge(kind, &head(200)), AnswerVerdict::Pass);
+        assert_eq!(evaluate(kind, &head(200)), AnswerVerdict::Pass);
         let unsigned = AnswerHead { is_signed: false, ..head(200) };
-        assert_eq!(judge(kind, &unsigned), AnswerVerdict::Fail(AttemptFailure::Garbled));
+        assert_eq!(evaluate(kind, &unsigned), AnswerVerdict::Fail(AttemptFailure::Garbled));
     }
 }
 
 /// A status that promises "not run" is never passed on from an endpoint; it counts as not run only if the endpoint
 /// states so itself.
 #[test]
-fn judge_not_run_status() {
+fn evaluate_not_run_status() {
     for kind in KINDS {
         for status in [408, 429, 503] {
-            assert_eq!(judge(kind, &head(status)), AnswerVerdict::Fail(AttemptFailure::Failed), "{status}");
+            assert_eq!(evaluate(kind, &head(status)), AnswerVerdict::Fail(AttemptFailure::Failed), "{status}");
             let stated = AnswerHead { is_not_run: true, ..head(status) };
-            assert_eq!(judge(kind, &stated), AnswerVerdict::Fail(AttemptFailure::Rejected), "{status}");
+            assert_eq!(evaluate(kind, &stated), AnswerVerdict::Fail(AttemptFailure::Rejected), "{status}");
         }
     }
     assert!(AttemptFailure::Rejected.is_not_run());
@@ -40,31 +40,31 @@
 }
 
 #[test]
-fn judge_foreign_answer() {
+fn evaluate_foreign_answer() {
     for kind in KINDS {
         let foreign = AnswerHead { attempt_id: Some("r2".into()), ..head(200) };
-        assert_eq!(judge(kind, &foreign), AnswerVerdict::Fail(AttemptFailure::Garbled));
+        assert_eq!(evaluate(kind, &foreign), AnswerVerdict::Fail(AttemptFailure::Garbled));
         let encoded = AnswerHead { is_encoded: true, ..head(200) };
-        assert_eq!(judge(kind, &encoded), AnswerVerdict::Fail(AttemptFailure::Garbled));
+        assert_eq!(evaluate(kind, &encoded), AnswerVerdict::Fail(AttemptFailure::Garbled));
     }
 }
 
 #[test]
-fn judge_misdirected() {
+fn evaluate_misdirected() {
     let other = AnswerHead { endpoint: Some("i-2".into()), ..head(421) };
-    assert_eq!(judge(KINDS[0], &other), AnswerVerdict::Fail(AttemptFailure::WrongIncarnation));
-    assert_eq!(judge(KINDS[0], &head(421)), AnswerVerdict::Fail(AttemptFailure::WrongIncarnation));
+    assert_eq!(evaluate(KINDS[0], &other), AnswerVerdict::Fail(AttemptFailure::WrongIncarnation));
+    assert_eq!(evaluate(KINDS[0], &head(421)), AnswerVerdict::Fail(AttemptFailure::WrongIncarnation));
     // The addressed engine rejects requests for other weights, and is still there.
     let meant = AnswerHead { endpoint: Some("i-1".into()), ..head(421) };
-    assert_eq!(judge(KINDS[2], &meant), AnswerVerdict::Fail(AttemptFailure::Rejected));
+    assert_eq!(evaluate(KINDS[2], &meant), AnswerVerdict::Fail(AttemptFailure::Rejected));
 }
 
 #[test]
-fn judge_failure() {
-    assert_eq!(judge(RequestKind::Idempotent, &head(500)), AnswerVerdict::PassOrRetry);
-    assert_eq!(judge(RequestKind::NonIdempotent, &head(500)), AnswerVerdict::Pass);
-    assert_eq!(judge(RequestKind::Idempotent, &head(404)), AnswerVerdict::Pass);
-    assert_eq!(judge(RequestKind::Idempotent, &head(101)), AnswerVerdict::Fail(AttemptFailure::Garbled));
+fn evaluate_failure() {
+    assert_eq!(evaluate(RequestKind::Idempotent, &head(500)), AnswerVerdict::PassOrRetry);
+    assert_eq!(evaluate(RequestKind::NonIdempotent, &head(500)), AnswerVerdict::Pass);
+    assert_eq!(evaluate(RequestKind::Idempotent, &head(404)), AnswerVerdict::Pass);
+    assert_eq!(evaluate(RequestKind::Idempotent, &head(101)), AnswerVerdict::Fail(AttemptFailure::Garbled));
 }
 
 /// Only failures after which the request is certain not to have run may be reported as "not run".
--- a/crates/hollyhook_core/tests/gateway/choosing.rs
+++ b/crates/hollyhook_core/tests/gateway/choosing.rs
@@ -177,7 +177,7 @@
     assert!(!table.is_displaced(&record("elsewhere", "z0", 1_001, 1), |_| true));
 }
 
-fn start(entry: &str, started: u64, port: u16, registered: u64) -> EndpointRecord {
+fn incarnation(entry: &str, started: u64, port: u16, registered: u64) -> EndpointRecord {
     let record = record(&format!("{entry}@{started}"), "z0", port, registered);
     record.incarnation_of(entry.into(), Some(started))
 }
@@ -186,9 +186,9 @@
 #[test]
 fn restart_has_fresh_record() {
     let mut table = table(&["z0"], 2);
-    table.upsert(start("e", 1_000, 7, 5));
+    table.upsert(incarnation("e", 1_000, 7, 5));
     table.record_open(NOW, "e@1000");
-    let later = start("e", 2_000, 7, 5);
+    let later = incarnation("e", 2_000, 7, 5);
     assert_eq!(table.displaced_by(&later), ["e@1000".into()]);
     table.remove("e@1000");
     table.upsert(later);
@@ -203,9 +203,9 @@
 #[test]
 fn restart_not_undone_by_old_entry() {
     let mut table = table(&["z0"], 2);
-    table.upsert(start("e", 2_000, 8, 5));
-    assert!(table.is_displaced(&start("e", 1_000, 7, 5), |_| true));
-    assert!(!table.is_displaced(&start("e", 3_000, 7, 5), |_| true));
+    table.upsert(incarnation("e", 2_000, 8, 5));
+    assert!(table.is_displaced(&incarnation("e", 1_000, 7, 5), |_| true));
+    assert!(!table.is_displaced(&incarnation("e", 3_000, 7, 5), |_| true));
 }
 
 /// A registration for an unknown service does not displace an earlier endpoint at the same address.
@@ -368,7 +368,7 @@
     assert_eq!(held(&[holding(8_000, silent), free]), None, "an engine that does not answer is not used as a holder");
 }
 
-/// A request goes to an engine of another zone only if that is clearly less loaded.
+/// A request goes to an engine of another zone only if that engine is clearly less loaded.
 #[test]
 fn held_in_the_own_zone_first() {
     let far = |running| EngineCandidate { record: record("far", "z1", 1, 1), ..candidate("", running, 0, 0) };
--- a/crates/hollyhook_core/tests/gateway/feeding.rs
+++ b/crates/hollyhook_core/tests/gateway/feeding.rs
@@ -18,7 +18,7 @@
     FeedChange { name: name.into(), object: Some(value) }
 }
 
-fn gone(name: &str) -> FeedChange<u32> {
+fn removed(name: &str) -> FeedChange<u32> {
     FeedChange { name: name.into(), object: None }
 }
 
@@ -42,14 +42,14 @@
 fn log() -> FeedLog<u32> {
     let mut log = FeedLog::default();
     log.apply(&update(true, 10, &[set("a", 1), set("b", 1)]));
-    log.apply(&update(false, 12, &[set("a", 2), gone("b")]));
+    log.apply(&update(false, 12, &[set("a", 2), removed("b")]));
     log
 }
 
 #[test]
 fn update_after_known_revision() {
     let log = log();
-    assert_eq!(log.update_after(Some(at(10))), Some(update(false, 12, &[set("a", 2), gone("b")])));
+    assert_eq!(log.update_after(Some(at(10))), Some(update(false, 12, &[set("a", 2), removed("b")])));
     assert_eq!(log.update_after(Some(at(12))), Some(update(false, 12, &[])));
     // The peer was updated by a leader that is ahead of this log: nothing is undone.
     assert_eq!(log.update_after(Some(at(15))).unwrap().changes, []);
@@ -58,9 +58,9 @@
 #[test]
 fn update_after_unknown_revision() {
     let log = log();
-    let whole = Some(update(true, 12, &[set("a", 2)]));
-    assert_eq!(log.update_after(None), whole);
-    assert_eq!(log.update_after(Some(at(9))), whole, "changes before the snapshot are not known");
+    let snapshot = Some(update(true, 12, &[set("a", 2)]));
+    assert_eq!(log.update_after(None), snapshot);
+    assert_eq!(log.update_after(Some(at(9))), snapshot, "changes before the snapshot are not known");
 }
 
 #[test]
@@ -80,7 +80,7 @@
     log.apply(&update(true, 30, &[set("a", 2), set("c", 3)]));
     assert_eq!(log.update_after(Some(at(12))), Some(update(false, 30, &[set("c", 3)])));
     log.apply(&update(true, 40, &[set("c", 3)]));
-    assert_eq!(log.update_after(Some(at(30))), Some(update(false, 40, &[gone("a")])));
+    assert_eq!(log.update_after(Some(at(30))), Some(update(false, 40, &[removed("a")])));
 }
 
 /// A leader that lists all objects again, because the store dropped its history, never received objects that were
@@ -141,7 +141,7 @@
     log.apply(&in_second_era(update(true, 5, &[set("a", 7)])));
     let known = log.update_after(None);
     log.apply(&update(true, 90, &[set("a", 1)]));
-    log.apply(&update(false, 91, &[gone("a")]));
+    log.apply(&update(false, 91, &[removed("a")]));
     assert_eq!(log.update_after(None), known);
 }
 
@@ -165,7 +165,7 @@
 }
 
 /// An update from another host is passed on only once: hosts that follow each other in a circle would otherwise never
-/// notice that the store is away.
+/// notice that the store is unavailable.
 #[test]
 fn update_after_passed_on() {
     let mut log = log();
@@ -286,7 +286,7 @@
 
 fn sources_of_follower(topology: &FeedTopology, now: TimePoint) -> Vec<Name> {
     match topology.plan(now) {
-        FeedPlan::Follow(leaders) => leaders.into_iter().map(|leader| leader.host).collect(),
+        FeedPlan::Follow(sources) => sources.into_iter().map(|source| source.host).collect(),
         plan => panic!("{plan:?}"),
     }
 }
@@ -500,12 +500,12 @@
 fn retry_delay_call_rate_in_outage() {
     const HOSTS: u32 = 295;
     const LEADERS: u32 = 12;
-    let contact = Duration::from_secs(5);
+    let contact_bound = Duration::from_secs(5);
     let mut store = StoreContact::default();
     store.note_failure(NOW);
     let per_second = |pause: Duration| Duration::from_secs(1).as_secs_f64() / pause.as_secs_f64();
     let calls = f64::from(LEADERS) * per_second(store.retry_delay(NOW))
-        + f64::from(HOSTS - LEADERS) * per_second(store.follower_retry_delay(NOW, contact));
+        + f64::from(HOSTS - LEADERS) * per_second(store.follower_retry_delay(NOW, contact_bound));
     assert!(calls < 500.0, "{calls} a second");
 }
 
@@ -513,17 +513,17 @@
 /// contact bound after the store's return, even if a call hangs.
 #[test]
 fn follower_retry_delay_within_contact() {
-    for contact in [4_000, 5_000].map(Duration::from_millis) {
-        let timing = FeedTiming::new(contact);
+    for contact_bound in [4_000, 5_000].map(Duration::from_millis) {
+        let timing = FeedTiming::new(contact_bound);
         let mut store = StoreContact::default();
         let mut longest = Duration::ZERO;
         for _ in 0..6 {
             let call = store.call_timeout();
             store.note_failure(NOW);
-            let questions = timing.peer_wait() * 2;
-            longest = longest.max(call.max(store.follower_retry_delay(NOW, contact)) + questions);
+            let peer_waits = timing.peer_wait() * 2;
+            longest = longest.max(call.max(store.follower_retry_delay(NOW, contact_bound)) + peer_waits);
         }
         let read_and_send = Duration::from_millis(50 + 250);
-        assert!(longest + read_and_send <= contact, "{longest:?} of {contact:?}");
+        assert!(longest + read_and_send <= contact_bound, "{longest:?} of {contact_bound:?}");
     }
 }
--- a/crates/hollyhook_core/tests/gateway/large_fleet.rs
+++ b/crates/hollyhook_core/tests/gateway/large_fleet.rs
@@ -74,12 +74,12 @@
 }
 
 #[test]
-fn shortlist_prefers_kept_connections_in_any_zone() {
+fn shortlist_prefers_pooled_connections_in_any_zone() {
     let table = table(ENDPOINTS);
-    let kept = [id(17_003)];
+    let pooled = [id(17_003)];
     let own = zone(0);
-    let query = RouteQuery::new("model").avoid_zone(&own).prefer(&kept);
-    assert_eq!(table.shortlist(NOW, &query, 1, 1)[0].id, kept[0]);
+    let query = RouteQuery::new("model").avoid_zone(&own).prefer(&pooled);
+    assert_eq!(table.shortlist(NOW, &query, 1, 1)[0].id, pooled[0]);
 }
 
 #[test]
@@ -95,26 +95,26 @@
 
 /// With hundreds of endpoints, a host that chose at random would hardly ever reuse a connection.
 #[test]
-fn choice_uses_kept_connection_unless_its_endpoint_is_busier() {
+fn choice_uses_pooled_connection_unless_its_endpoint_is_busier() {
     let (mut table, mut rng) = (table(186), Pcg64::seed_from_u64(3));
-    let kept = [id(60)];
-    let query = RouteQuery::new("model").prefer(&kept);
-    let mut kept_of_100 = |table: &EndpointTable| {
+    let pooled = [id(60)];
+    let query = RouteQuery::new("model").prefer(&pooled);
+    let mut pooled_of_100 = |table: &EndpointTable| {
         let chosen = (0..100).filter_map(|_| table.choose(NOW, &query, &mut rng));
         chosen.filter(|chosen| *chosen == id(60)).count()
     };
-    let kept_if_idle = kept_of_100(&table);
+    let pooled_if_idle = pooled_of_100(&table);
     assert!(
-        (70..100).contains(&kept_if_idle),
-        "{kept_if_idle} of 100; some choices must go to other endpoints, to learn their load"
+        (70..100).contains(&pooled_if_idle),
+        "{pooled_if_idle} of 100; some choices must go to other endpoints, to learn their load"
     );
     table.update_load(&id(60), LoadReport { running: 2, waiting: 0, capacity: SLOTS });
-    assert_eq!(kept_of_100(&table), 0, "the other endpoints are idle");
+    assert_eq!(pooled_of_100(&table), 0, "the other endpoints are idle");
     let far = [id(61)];
     let query = RouteQuery::new("model").prefer(&far);
     let near = |id: &EndpointId| table.get(id).is_some_and(|record| record.zone == zone(0));
     let chosen: Vec<EndpointId> = (0..50).filter_map(|_| table.choose(NOW, &query, &mut rng)).collect();
-    assert!(chosen.iter().filter(|id| near(id)).count() > 20, "the own zone takes precedence over a kept connection");
+    assert!(chosen.iter().filter(|id| near(id)).count() > 20, "the own zone takes precedence over a pooled connection");
 }
 
 /// Requests that run in another zone are lost if the network between the zones fails, so the own zone is used while it
--- a/crates/hollyhook_core/tests/gateway/main.rs
+++ b/crates/hollyhook_core/tests/gateway/main.rs
@@ -2,17 +2,17 @@
 
 mod answers;
 mod attempts;
+mod backups;
 mod choosing;
 mod contact;
-mod copies;
 mod feeding;
 mod large_fleet;
+mod liveness;
 mod membership;
 mod quarantine;
-mod quarantine_play;
+mod quarantine_simulation;
 mod retries;
 mod rollouts;
-mod silence;
 mod site;
 mod stopping;
 mod streams;
--- a/crates/hollyhook_core/tests/gateway/terms.rs
+++ b/crates/hollyhook_core/tests/gateway/terms.rs
@@ -117,8 +117,8 @@
     assert!(terms.is_open(after(3), "i-1"));
 }
 
-/// The listed entry may be older than the endpoint's own announcement, or may lapse while the store is away and be
-/// registered again.
+/// The listed entry may be older than the endpoint's own announcement, or may lapse while the store is unavailable and
+/// be registered again.
 #[test]
 fn leaving_outlives_listing() {
     let mut table = EndpointTable::new("z0".into());
