--- a/crates/hollyhook_core/src/feed/feed_log.rs
+++ b/crates/hollyhook_core/src/feed/feed_log.rs
@@ -53,7 +53,7 @@
     /// Time until which the store is known to have held no change beyond this update.
     pub confirmed_until: TimePoint,
     /// Start of the grace period in which entries that lapsed while the store was unavailable may be registered again;
-    /// `None` if there was no such outage.
+    /// `None` if no such outage is known.
     pub grace_start: Option<TimePoint>,
     /// Hosts that passed the update on; zero if it comes from the store.
     pub hops: u32,
--- a/crates/hollyhook_core/src/stream/liveness_checker.rs
+++ b/crates/hollyhook_core/src/stream/liveness_checker.rs
@@ -1,16 +1,15 @@
 use crate::EngineReport;
 
-/// Reports with neither the run nor a queued request after which the run counts as absent. The first such report may
-/// be older than the request.
+/// Number of reports with neither the run nor a queued request after which the run counts as absent. The first such
+/// report may be older than the request.
 const MAX_ABSENT_REPORTS: u32 = 2;
-/// Events that an engine may have produced but that are still in flight, given that its report is a few hundred
-/// milliseconds old and that the stream was silent for longer.
+/// Number of events that an engine may have produced but that are still in flight, given that its report is a few
+/// hundred milliseconds old and that the stream was silent for longer.
 const MAX_EVENTS_IN_FLIGHT: u64 = 3;
-/// Reports between two received events after which the run counts as stalled: none of them shows more events than may
-/// be in flight.
+/// Number of reports between two received events after which the run counts as stalled.
 const MAX_STALLED_REPORTS: u32 = 3;
-/// Reports after which a request that is still waiting for its prompt to be processed is given up; about ten seconds.
-/// This is only an upper bound, since another engine would have to process the prompt from the start.
+/// Number of reports, over about ten seconds, after which a request that still waits for its prompt to be processed is
+/// given up. This is only an upper bound, since another engine would have to process the prompt from the start.
 const MAX_QUEUED_REPORTS: u32 = 30;
 
 /// Whether to keep waiting for a silent attempt.
@@ -24,6 +23,8 @@
 
 /// Decides from the engine's reports whether an attempt that is silent is still being worked on.
 ///
+/// Each wait for an event uses a new checker, which counts the reports of that wait only.
+///
 /// Distinguishes three causes of a silence: a dead engine sends no report; an engine that processes other prompts first
 /// reports queued requests; behind a broken connection, the engine reports more events than were received.
 #[derive(Debug, Clone, Default)]
--- a/crates/hollyhook_core/tests/gateway/feeding.rs
+++ b/crates/hollyhook_core/tests/gateway/feeding.rs
@@ -249,8 +249,8 @@
     assert!(max_age(timing, 0) + timing.peer_wait() <= bound);
 }
 
-/// API keys that may outlive their end by five seconds are accepted for 3.75 s without confirmation: while nothing
-/// fails, hosts at the end of the chain are confirmed in time and refuse no callers.
+/// API keys that must be refused within five seconds of their revocation are accepted for 3.75 s without confirmation:
+/// while nothing fails, hosts at the end of the chain are confirmed in time and refuse no callers.
 #[test]
 fn age_within_key_bound() {
     for (_, timing) in timings() {
