--- a/crates/hollyhook_gateway/src/forward/attempt.rs
+++ b/crates/hollyhook_gateway/src/forward/attempt.rs
@@ -160,16 +160,16 @@
 
 /// Sends a request to an endpoint on a pooled connection, or on a new one if none is pooled.
 ///
-/// A request that a closed pooled connection did not send is sent again on another connection.
+/// If a pooled connection turns out to be closed before any byte was sent, the request is sent on another connection.
 pub(super) async fn send(
     context: &GatewayContext,
     target: &EndpointTarget,
     mut request: Request<Full<Bytes>>,
 ) -> Result<OpenResponse, AttemptFailure> {
     loop {
-        let kept = context.pool.take(&target.id);
-        let is_kept = kept.is_some();
-        let mut connection = match kept {
+        let pooled = context.pool.take(&target.id);
+        let is_pooled = pooled.is_some();
+        let mut connection = match pooled {
             Some(connection) => connection,
             None => connect(context, target).await?,
         };
@@ -183,7 +183,7 @@
                 }
                 return Ok(OpenResponse { head, parts, body, connection, sent_at });
             }
-            Err(SendError::Unsent(unsent)) if is_kept => request = *unsent,
+            Err(SendError::Unsent(unsent)) if is_pooled => request = *unsent,
             Err(SendError::Unsent(_)) => return Err(AttemptFailure::NotConnected),
             Err(SendError::Garbled) => return Err(AttemptFailure::Garbled),
             Err(SendError::Broken) => return Err(AttemptFailure::Broken),
--- a/crates/hollyhook_gateway/src/forward/backup_replicator.rs
+++ b/crates/hollyhook_gateway/src/forward/backup_replicator.rs
@@ -17,19 +17,19 @@
 /// Interval at which the backup of a generation is checked. Engines that crash together usually share a zone, and
 /// another zone fails only seconds later.
 const CHECK_INTERVAL: Duration = Duration::from_millis(300);
-/// Delay before engines are probed again for a copy after none had room. Memory is freed as streams end, which takes
+/// Delay before engines are probed again for a backup after none had room. KV cache is freed as streams end, which takes
 /// six seconds or more, and each probe takes time from an engine that is already loaded.
 const NO_ROOM_PAUSE: Duration = Duration::from_millis(1_500);
-/// Interval at which an on-demand copy is refreshed. Engines evict a copy that is not used for four seconds.
+/// Interval at which an on-demand backup is refreshed. Engines evict a backup that is not used for four seconds.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(2_500);
-/// Time limit for making or freeing a copy. The KV cache of a long generation crosses zones within 0.1 s.
-const COPY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit for making or freeing a backup. The KV cache of a long generation crosses zones within 0.1 s.
+const BACKUP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Maintains a copy of a generation's KV cache at another engine while the generation runs.
+/// Maintains a backup of a generation's KV cache at another engine while the generation runs.
 ///
-/// The running engine extends the copy that the generation was started with. When the engine that holds this copy is
-/// lost, the replicator has a new copy made on demand at an engine that has just answered a probe, and refreshes that
-/// copy until the generation ends. Where engines support no on-demand copies, the generation continues without one.
+/// The running engine extends the backup that the generation was started with. When the engine that holds this backup is
+/// lost, the replicator has a new backup made on demand at an engine that has just answered a probe, and refreshes that
+/// backup until the generation ends. Where engines support no on-demand backups, the generation continues without one.
 #[derive(Debug)]
 pub(super) struct BackupReplicator {
     context: Arc<GatewayContext>,
@@ -40,9 +40,9 @@
 
 #[derive(Debug)]
 struct ReplicatorState {
-    /// Engine that holds the copy now.
+    /// Location of the current backup; `None` if there is none.
     location: Option<BackupLocation>,
-    /// Whether a copy is being made; its name is known only from the response.
+    /// Whether a backup is being made; its name is known only from the response.
     is_copying: bool,
     /// Whether the generation has ended.
     has_ended: bool,
@@ -71,7 +71,7 @@
         Self { context: Arc::clone(context), run_target, state, task: handle }
     }
 
-    /// Takes the location of the copy, to resume the generation from it; the replicator no longer frees this copy.
+    /// Takes the location of the backup, to resume the generation from it; the replicator no longer frees this backup.
     pub(super) fn take_location(&self) -> Option<BackupLocation> {
         lock(&self.state).location.take()
     }
@@ -81,27 +81,27 @@
     fn drop(&mut self) {
         let mut state = lock(&self.state);
         state.has_ended = true;
-        // The name of a copy in progress is not known yet: the task stays alive and frees the copy when it is made.
+        // The name of a backup in progress is not known yet: the task stays alive and frees the backup when it is made.
         if !state.is_copying {
             self.task.abort();
         }
         let location = state.location.take();
         drop(state);
         if let Some(location) = location.filter(|location| location.is_on_demand) {
-            task::spawn(free_copy(Arc::clone(&self.context), self.run_target.clone(), location.source.name));
+            task::spawn(free_backup(Arc::clone(&self.context), self.run_target.clone(), location.source.name));
         }
     }
 }
 
-/// Frees a copy that will not be used. If the request fails, the engines evict the copy by themselves after a few
+/// Frees a backup that will not be used. If the request fails, the engines evict the backup by themselves after a few
 /// seconds.
-async fn free_copy(context: Arc<GatewayContext>, run_target: EndpointTarget, copy: Name) {
-    let path = hollyhook_platform::backup_free_path(&copy);
+async fn free_backup(context: Arc<GatewayContext>, run_target: EndpointTarget, handle: Name) {
+    let path = hollyhook_platform::backup_free_path(&handle);
     let request = Request::delete(path).header(header::HOST, run_target.address.to_string()).body(Full::default());
     let Ok(request) = request else {
         return;
     };
-    let is_freed = call_endpoint(&context, &run_target, request, COPY_TIMEOUT).await.is_some();
+    let is_freed = call_endpoint(&context, &run_target, request, BACKUP_TIMEOUT).await.is_some();
     tracing::debug!(endpoint = %run_target.id, is_freed, "backup.freed");
 }
 
@@ -110,7 +110,7 @@
     caller: Arc<CallerRequest>,
     run_target: EndpointTarget,
     state: Arc<Mutex<ReplicatorState>>,
-    /// When the copy was last refreshed; `None` if it was not made on demand.
+    /// When the backup was last refreshed; `None` if it was not made on demand.
     copied_at: Option<TimePoint>,
 }
 
@@ -131,7 +131,7 @@
             .and_then(|location| chooser.usable_backup(location))
             .map(|(record, _)| EndpointTarget::from(&record));
         let target = match (target, self.copied_at) {
-            // The running engine extends this copy itself.
+            // The running engine extends this backup itself.
             (Some(_), None) => return,
             (Some(_), Some(at)) if self.context.timer.now().since(at) < REFRESH_INTERVAL => return,
             (Some(target), Some(_)) => Some(target),
@@ -144,51 +144,51 @@
         if !self.begin_copy() {
             return;
         }
-        let copy = self.copy_to(&target).await;
+        let handle = self.copy_to(&target).await;
         tracing::info!(request = %self.caller.head.attempt_id, endpoint = %self.run_target.id, backup = %target.id,
-            is_copied = copy.is_some(), "backup.copied");
-        self.end_copy(&target, copy).await;
+            is_copied = handle.is_some(), "backup.copied");
+        self.end_copy(&target, handle).await;
     }
 
-    /// Marks a copy as being made; returns false if the generation has ended, so that no copy is needed.
+    /// Marks a backup as being made; returns false if the generation has ended, so that no backup is needed.
     fn begin_copy(&self) -> bool {
         let mut state = lock(&self.state);
         state.is_copying = !state.has_ended;
         state.is_copying
     }
 
-    async fn end_copy(&mut self, target: &EndpointTarget, copy: Option<Name>) {
-        self.copied_at = copy.as_ref().map(|_| self.context.timer.now());
+    async fn end_copy(&mut self, target: &EndpointTarget, handle: Option<Name>) {
+        self.copied_at = handle.as_ref().map(|_| self.context.timer.now());
         let unused = {
             let mut state = lock(&self.state);
             state.is_copying = false;
-            let location = copy.clone().map(|name| BackupLocation {
+            let location = handle.clone().map(|name| BackupLocation {
                 id: EndpointId::clone(&target.id),
                 source: BackupSource { address: self.run_target.address, name },
                 is_on_demand: true,
             });
             if state.has_ended {
-                copy
+                handle
             } else {
                 state.location = location;
                 None
             }
         };
         match unused {
-            Some(name) => free_copy(Arc::clone(&self.context), self.run_target.clone(), name).await,
+            Some(name) => free_backup(Arc::clone(&self.context), self.run_target.clone(), name).await,
             None if self.copied_at.is_some() => self.context.board.count("backups_copied"),
             None => {}
         }
     }
 
     async fn copy_to(&self, target: &EndpointTarget) -> Option<Name> {
-        let order = hollyhook_platform::encode_backup_request(&self.caller.head.attempt_id, target.address).ok()?;
+        let body = hollyhook_platform::encode_backup_request(&self.caller.head.attempt_id, target.address).ok()?;
         let request = Request::post(hollyhook_platform::backup_path())
             .header(header::HOST, self.run_target.address.to_string())
             .header(header::CONTENT_TYPE, "application/json")
-            .body(Full::from(order))
+            .body(Full::from(body))
             .ok()?;
-        let response = call_endpoint(&self.context, &self.run_target, request, COPY_TIMEOUT).await?;
+        let response = call_endpoint(&self.context, &self.run_target, request, BACKUP_TIMEOUT).await?;
         let is_done = response.parts.status.is_success();
         if is_done { hollyhook_platform::decode_backup_handle(&response.body).ok() } else { None }
     }
--- a/crates/hollyhook_gateway/src/forward/crash_check.rs
+++ b/crates/hollyhook_gateway/src/forward/crash_check.rs
@@ -30,7 +30,7 @@
 /// A broken connection alone proves little: live endpoints and network links reset some. An endpoint whose process has
 /// ended refuses the next connections or breaks each of them. If neither is seen, a lost attempt (`Broken`, `Garbled`,
 /// `Silent`) is remembered for a while, and counts as a crash if the endpoint turns out to have restarted or its
-/// registry entry is removed.
+/// entry in the store is removed.
 pub(super) async fn check_crash(
     context: &Arc<GatewayContext>,
     caller: &CallerRequest,
@@ -64,8 +64,8 @@
 
 /// Returns the error for a quarantined request: one that crashed endpoints, at this host or at others.
 ///
-/// Each crash also ends the requests that other callers have running at the endpoint, so that they would pay for a
-/// further attempt.
+/// Each crash also ends the requests of other callers that run at the endpoint, so that a further attempt would harm
+/// them too.
 pub(super) fn quarantine_error(context: &GatewayContext, caller: &CallerRequest) -> Option<Error> {
     let left = context.quarantine.refusal(|| caller.digest())?;
     let error = Error::new(ErrorKind::Quarantined, StopReason::Quarantined.as_str());
--- a/crates/hollyhook_gateway/src/forward/endpoint_probe.rs
+++ b/crates/hollyhook_gateway/src/forward/endpoint_probe.rs
@@ -72,16 +72,16 @@
     candidates
 }
 
-/// Fetches how many tokens of a prompt part an engine holds; zero if the engine does not say, which only costs another
-/// prefill.
+/// Fetches how many tokens of a prompt part an engine holds; zero if the engine gives no usable answer, which only costs
+/// another prefill.
 async fn fetch_held_tokens(context: &GatewayContext, target: &EndpointTarget, part: u64) -> u64 {
     let Some(body) = fetch_path(context, target, hollyhook_platform::held_parts_path(), PLACEMENT_TIMEOUT).await else {
         return 0;
     };
     match hollyhook_platform::decode_held_parts(&body) {
         Ok(held) => held.iter().find(|known| known.part == part).map_or(0, |known| known.tokens),
-        Err(fault) => {
-            tracing::info!(endpoint = %target.id, reason = %fault, "endpoint.holdings_unread");
+        Err(error) => {
+            tracing::info!(endpoint = %target.id, reason = %error, "endpoint.holdings_unread");
             0
         }
     }
--- a/crates/hollyhook_gateway/src/forward/engine_choice.rs
+++ b/crates/hollyhook_gateway/src/forward/engine_choice.rs
@@ -28,26 +28,26 @@
 const ALL_HOLDER_LIMITS: HolderLimits = HolderLimits { own_zone: 6, other_zone: 3 };
 
 /// How long a connection to an engine of another zone must have been idle for that engine to be preferred as the holder
-/// of a copy. A host that starts a generation every 3 s then probes the same two engines each time. A host that starts
-/// many spreads their copies: it sends each engine one copy in 2 s, so three or four at a time while generations last
-/// six to seven seconds.
-const COPY_MIN_IDLE: Duration = Duration::from_secs(2);
+/// of a backup. A host that starts a generation every 3 s then probes the same two engines each time. A host that starts
+/// many spreads their backups: it sends each engine one backup in 2 s, so that an engine holds three or four at a time
+/// while generations last six to seven seconds.
+const BACKUP_MIN_IDLE: Duration = Duration::from_secs(2);
 
-/// Engine that holds a copy of a generation's KV cache.
+/// Backup of a generation's KV cache, and the engine that holds it.
 #[derive(Debug, Clone)]
 pub(super) struct BackupLocation {
     pub(super) id: EndpointId,
     pub(super) source: BackupSource,
-    /// Whether the copy was made by an explicit request. Such a copy occupies KV cache that serves no request until it
-    /// is freed.
+    /// Whether the backup was made by an explicit request. Such a backup occupies KV cache that serves no request until
+    /// it is freed.
     pub(super) is_on_demand: bool,
 }
 
-/// Engine that an attempt is sent to, the KV cache that it resumes from, and the engine that holds its copy.
+/// Engine that an attempt is sent to, the backup that it resumes from, and the engine that is to hold its own backup.
 #[derive(Debug)]
 pub(super) struct EngineChoice {
     pub(super) slot: EndpointSlot,
-    /// Copy of the KV cache to resume from.
+    /// Backup of the KV cache to resume from.
     pub(super) from: Option<BackupSource>,
     pub(super) backup: Option<BackupLocation>,
     /// Address of an engine that holds the prompt's KV cache, to fetch it from.
@@ -65,7 +65,7 @@
 }
 
 impl EngineChooser<'_> {
-    /// Chooses an engine; `resume_from` is the copy of the lost attempt's KV cache, if there is one.
+    /// Chooses an engine; `resume_from` is the backup of the lost attempt's KV cache, if there is one.
     ///
     /// # Errors
     ///
@@ -168,7 +168,7 @@
         Ok(EngineChoice { slot, from: None, backup, prompt_at: None })
     }
 
-    /// Probes the engines that a prompt may be sent to, best first, and those that may hold its copy.
+    /// Probes the engines that a prompt may be sent to, best first, and those that may hold its backup.
     ///
     /// The best engine is probed alone at first, since its report settles most choices and each further engine costs a
     /// connection.
@@ -178,7 +178,7 @@
         second: Vec<EndpointRecord>,
     ) -> (Vec<EngineCandidate>, Vec<EngineCandidate>) {
         let mut rest = first.split_off(1.min(first.len()));
-        // An engine probed twice at once would count as failed if the slower report came too late, and its copy would
+        // An engine probed twice at once would count as failed if the slower report came too late, and its backup would
         // not be used.
         rest.retain(|record| second.iter().all(|listed| listed.id != record.id));
         let (mut probed, other_zones) = join(probe_all(self.context, first), probe_all(self.context, second)).await;
@@ -211,7 +211,7 @@
         }
     }
 
-    /// The engine that holds a copy, if this engine may still be sent the generation.
+    /// The engine that holds a backup, if this engine may still be sent the generation.
     pub(super) fn usable_backup(&self, backup: &BackupLocation) -> Option<(EndpointRecord, BackupSource)> {
         let now = self.context.timer.now();
         let record = self.context.endpoints.table().get(&backup.id).cloned()?;
@@ -221,13 +221,13 @@
         is_fit.then(|| (record, backup.source.clone()))
     }
 
-    /// Lists engines outside the zone of `record`, mainly to hold the copy of a generation, since a zone often fails as
+    /// Lists engines outside the zone of `record`, mainly to hold the backup of a generation, since a zone often fails as
     /// a whole; one engine per zone, since another zone may just have failed too.
     ///
-    /// Engines to which a pooled connection has been idle for `COPY_MIN_IDLE` are preferred. The order that all hosts
-    /// share is not needed here: whoever resumes from a copy knows its location.
+    /// Engines to which a pooled connection has been idle for `BACKUP_MIN_IDLE` are preferred. The order that all hosts
+    /// share is not needed here: whoever resumes from a backup knows its location.
     fn list_other_zones(&self, record: &EndpointRecord) -> Vec<EndpointRecord> {
-        let idle = self.context.pool.idle_for(COPY_MIN_IDLE);
+        let idle = self.context.pool.idle_for(BACKUP_MIN_IDLE);
         let query = self.query().avoid_zone(&record.zone).prefer(&idle).repeatable(false);
         let mut list = self.context.endpoints.shortlist(&query, self.rendezvous_key(), usize::MAX);
         let mut zones = BTreeSet::new();
@@ -236,7 +236,7 @@
         list
     }
 
-    /// Chooses an engine for a new copy of a running generation; `None` if no engine that reports in time has room.
+    /// Chooses an engine for a new backup of a running generation; `None` if no engine that reports in time has room.
     pub(super) async fn choose_backup(&self, run_target: &EndpointTarget) -> Option<EndpointTarget> {
         let record = self.context.endpoints.table().get(&run_target.id).cloned()?;
         let candidates = probe_all(self.context, self.list_other_zones(&record)).await;
@@ -245,8 +245,8 @@
     }
 
     fn has_backups(&self) -> bool {
-        let is_kept = self.caller.engine.is_some_and(|engine| engine.has_backups);
-        is_kept && self.caller.route.kind.is_repeatable()
+        let is_supported = self.caller.engine.is_some_and(|engine| engine.has_backups);
+        is_supported && self.caller.route.kind.is_repeatable()
     }
 
     fn best_backup(&self, slot: &EndpointSlot, candidates: &[EngineCandidate]) -> Option<BackupLocation> {
--- a/crates/hollyhook_gateway/src/forward/event_stream.rs
+++ b/crates/hollyhook_gateway/src/forward/event_stream.rs
@@ -20,7 +20,7 @@
 use super::backup_replicator::BackupReplicator;
 use super::crash_check::{SURVIVAL_TIME, check_crash, record_given_up, record_survival};
 use super::engine_choice::{BackupLocation, EngineChoice, EngineChooser};
-use super::live_attempt::{AttemptStart, LiveAttempt, PieceOutcome};
+use super::live_attempt::{AttemptStart, LiveAttempt, ReadOutcome};
 use super::liveness_watch::LivenessWatch;
 use super::request_log;
 use super::stream_timing::StreamTiming;
@@ -75,10 +75,10 @@
 struct StreamRun {
     context: Arc<GatewayContext>,
     caller: Arc<CallerRequest>,
-    relay: EventSequencer,
+    sequencer: EventSequencer,
     timing: StreamTiming,
     live: Option<LiveAttempt>,
-    /// Copy of the lost attempt's KV cache, for the next attempt to resume from.
+    /// Backup of the lost attempt's KV cache, for the next attempt to resume from.
     resume_from: Option<BackupLocation>,
     first_head: Option<Parts>,
     /// Version of the weights that generated the events so far; other weights would not continue the same text.
@@ -92,14 +92,14 @@
 
 impl StreamRun {
     fn new(context: Arc<GatewayContext>, caller: Arc<CallerRequest>) -> Self {
-        let relay = EventSequencer::new(caller.head.cursor);
-        let is_back = caller.head.cursor.is_some();
-        let timing = if is_back { StreamTiming::resumed_by_caller(caller.arrived) } else { StreamTiming::default() };
+        let sequencer = EventSequencer::new(caller.head.cursor);
+        let is_resumed = caller.head.cursor.is_some();
+        let timing = if is_resumed { StreamTiming::resumed_by_caller(caller.arrived) } else { StreamTiming::default() };
         let ledger = AttemptLedger::for_route(&caller.route, MAX_REJECTED);
         Self {
             context,
             caller,
-            relay,
+            sequencer,
             timing,
             live: None,
             resume_from: None,
@@ -128,18 +128,18 @@
             let Some(live) = self.live.as_mut() else {
                 continue;
             };
-            match live.next_piece(&self.context, &self.caller, &mut self.relay).await {
-                PieceOutcome::Bytes(bytes) => {
+            match live.next_events(&self.context, &self.caller, &mut self.sequencer).await {
+                ReadOutcome::Bytes(bytes) => {
                     if let Some(resume) = self.timing.record_event(self.context.timer.now()) {
                         request_log::resumed(&self.context, &self.caller, &resume);
                     }
                     return Some(Ok(bytes));
                 }
-                PieceOutcome::Complete => {
+                ReadOutcome::Complete => {
                     self.complete();
                     return None;
                 }
-                PieceOutcome::Failure(failure) => {
+                ReadOutcome::Failure(failure) => {
                     if let Err(error) = self.abandon_attempt(failure).await {
                         return Some(Err(self.finish_with_error(error)));
                     }
@@ -195,7 +195,7 @@
 
     fn record_failure(&mut self, id: &EndpointId, failure: AttemptFailure) -> Result<()> {
         self.context.endpoints.record_outcome(id, Some(failure));
-        request_log::attempt_failed(&self.context, &self.caller, id, failure, self.relay.last());
+        request_log::attempt_failed(&self.context, &self.caller, id, failure, self.sequencer.last());
         self.tried.push(EndpointId::clone(id));
         match end_attempt(&self.context, &self.caller, &mut self.ledger, failure) {
             Some(reason) => Err(self.stop_error(reason)),
@@ -204,7 +204,7 @@
     }
 
     fn stop_error(&self, reason: StopReason) -> Error {
-        self.ledger.final_error(reason, self.relay.delivered(), BUSY_RETRY_AFTER)
+        self.ledger.final_error(reason, self.sequencer.delivered(), BUSY_RETRY_AFTER)
     }
 
     /// Opens attempts until one streams or a response that is not a stream is to be returned.
@@ -217,14 +217,14 @@
                 EngineChooser { context: &self.context, caller: &self.caller, tried: &self.tried, versions: &filter };
             let mut choice = chooser.choose(resume_from).await;
             if choice.is_err() && filter.only.is_some() {
-                // A request is not refused because the few endpoints on trial are full: it is placed without the draw
-                // for them.
+                // If the few endpoints of the version on trial are full, the request is not refused, but placed at an
+                // endpoint of another version.
                 let filter = self.context.rollouts.version_filter(&self.caller.service, false).unwrap_or_default();
                 choice = EngineChooser { versions: &filter, ..chooser }.choose(None).await;
             }
             let choice = choice.map_err(|failure| {
                 let retry = failure.pause.max(BUSY_RETRY_AFTER);
-                self.ledger.final_error(failure.reason, self.relay.delivered(), retry)
+                self.ledger.final_error(failure.reason, self.sequencer.delivered(), retry)
             })?;
             let target = choice.slot.target.clone();
             let sent_at = self.context.timer.now();
@@ -253,7 +253,7 @@
             time_left: self.caller.time_left(self.context.timer.now()),
             priority: Some(self.caller.priority()),
             weights: self.weights,
-            cursor: self.relay.last(),
+            cursor: self.sequencer.last(),
             backup_at: backup.as_ref().map(|backup| backup.source.address),
             backup_from: from,
             prompt_at,
@@ -272,7 +272,7 @@
                 self.live = Some(LiveAttempt::new(slot, response, replicator, start));
                 Ok(())
             }
-            AnswerVerdict::Pass if self.relay.delivered() == 0 => self.forward_buffered(&slot, response).await,
+            AnswerVerdict::Pass if self.sequencer.delivered() == 0 => self.forward_buffered(&slot, response).await,
             AnswerVerdict::Pass | AnswerVerdict::PassOrRetry => Err(AttemptFailure::Failed),
             AnswerVerdict::Fail(failure) => Err(failure),
         }
@@ -285,8 +285,8 @@
 
     fn start_replicator(&self, slot: &EndpointSlot, first: Option<BackupLocation>) -> Option<BackupReplicator> {
         let has_moves = self.caller.engine.is_some_and(|engine| engine.has_moves);
-        let is_kept = self.caller.route.kind.is_repeatable() && (has_moves || first.is_some());
-        is_kept.then(|| BackupReplicator::start(&self.context, &self.caller, slot.target.clone(), first))
+        let is_needed = self.caller.route.kind.is_repeatable() && (has_moves || first.is_some());
+        is_needed.then(|| BackupReplicator::start(&self.context, &self.caller, slot.target.clone(), first))
     }
 
     /// Buffers a response that is not a stream, to be returned to the caller.
--- a/crates/hollyhook_gateway/src/forward/live_attempt.rs
+++ b/crates/hollyhook_gateway/src/forward/live_attempt.rs
@@ -12,7 +12,7 @@
 use crate::front::CallerRequest;
 use crate::gateway::GatewayContext;
 
-/// Least number of events for which the mean gap between them is recorded.
+/// Minimum number of events for which the mean gap between them is recorded.
 const GAP_EVENTS: u32 = 8;
 
 /// How an attempt was started.
@@ -28,15 +28,15 @@
     pub(super) slot: EndpointSlot,
     pub(super) response: OpenResponse,
     pub(super) replicator: Option<BackupReplicator>,
-    cutter: EventSplitter,
+    splitter: EventSplitter,
     start: AttemptStart,
     first_event_at: Option<TimePoint>,
     last_event_at: Option<TimePoint>,
     events: u32,
 }
 
-/// Outcome of reading on from an attempt.
-pub(super) enum PieceOutcome {
+/// Outcome of reading the next events of an attempt.
+pub(super) enum ReadOutcome {
     /// Whole events for the caller.
     Bytes(Bytes),
     /// The response body ended after a whole event.
@@ -56,7 +56,7 @@
             slot,
             response,
             replicator,
-            cutter: EventSplitter::default(),
+            splitter: EventSplitter::default(),
             start,
             first_event_at: None,
             last_event_at: None,
@@ -74,35 +74,37 @@
     }
 
     /// Waits for the next whole events that the caller does not have yet.
-    pub(super) async fn next_piece(
+    pub(super) async fn next_events(
         &mut self,
         context: &GatewayContext,
         caller: &CallerRequest,
-        relay: &mut EventSequencer,
-    ) -> PieceOutcome {
+        sequencer: &mut EventSequencer,
+    ) -> ReadOutcome {
         let mut watch = if self.first_event_at.is_some() {
             LivenessWatch::between_events()
         } else {
             LivenessWatch::before_first(caller.head.prompt.unwrap_or_default().prompt_tokens)
         };
         loop {
-            if let Some(outcome) = self.drain_events(relay, context.timer.now()) {
+            if let Some(outcome) = self.drain_events(sequencer, context.timer.now()) {
                 return outcome;
             }
             let limit = watch.limit(caller.time_left(context.timer.now()));
             match context.timer.within(limit, self.response.body.frame()).await {
                 Some(Some(Ok(frame))) => {
                     if let Ok(data) = frame.into_data() {
-                        self.cutter.feed(&data);
+                        self.splitter.feed(&data);
                     }
                 }
-                Some(Some(Err(_error))) => return PieceOutcome::Failure(AttemptFailure::Broken),
-                Some(None) if self.cutter.has_partial_event() => return PieceOutcome::Failure(AttemptFailure::Garbled),
-                Some(None) => return PieceOutcome::Complete,
+                Some(Some(Err(_error))) => return ReadOutcome::Failure(AttemptFailure::Broken),
+                Some(None) if self.splitter.has_partial_event() => {
+                    return ReadOutcome::Failure(AttemptFailure::Garbled);
+                }
+                Some(None) => return ReadOutcome::Complete,
                 None => {
-                    let delivered = self.delivered(relay);
+                    let delivered = self.delivered(sequencer);
                     if let Err(failure) = watch.check(context, caller, &self.slot.target, delivered).await {
-                        return PieceOutcome::Failure(failure);
+                        return ReadOutcome::Failure(failure);
                     }
                 }
             }
@@ -111,8 +113,8 @@
 
     /// Events that the caller has, for comparison with the count in the engine's report; zero before the first event of
     /// this attempt.
-    fn delivered(&self, relay: &EventSequencer) -> u64 {
-        if self.first_event_at.is_some() { relay.last().unwrap_or(0).max(relay.delivered()) } else { 0 }
+    fn delivered(&self, sequencer: &EventSequencer) -> u64 {
+        if self.first_event_at.is_some() { sequencer.last().unwrap_or(0).max(sequencer.delivered()) } else { 0 }
     }
 
     /// Time since the first event of the attempt; zero before it.
@@ -121,38 +123,38 @@
     }
 
     /// Takes the buffered whole events and returns those that the caller does not have yet.
-    fn drain_events(&mut self, relay: &mut EventSequencer, now: TimePoint) -> Option<PieceOutcome> {
+    fn drain_events(&mut self, sequencer: &mut EventSequencer, now: TimePoint) -> Option<ReadOutcome> {
         let mut ready = VecDeque::new();
-        while let Some(piece) = self.cutter.next_event() {
+        while let Some(event) = self.splitter.next_event() {
             self.first_event_at.get_or_insert(now);
             self.last_event_at = Some(now);
             self.events += 1;
-            match relay.classify(&piece) {
-                SequenceVerdict::Deliver => ready.push_back(piece.bytes),
+            match sequencer.classify(&event) {
+                SequenceVerdict::Deliver => ready.push_back(event.bytes),
                 SequenceVerdict::Drop => {}
                 SequenceVerdict::Gap if ready.is_empty() => {
-                    return Some(PieceOutcome::Failure(AttemptFailure::Garbled));
+                    return Some(ReadOutcome::Failure(AttemptFailure::Garbled));
                 }
                 // The events before the gap are delivered first. The later events of this attempt are gaps too, so that
                 // the attempt fails at the next of them.
                 SequenceVerdict::Gap => break,
             }
         }
-        if self.cutter.is_oversized() {
-            return Some(PieceOutcome::Failure(AttemptFailure::Garbled));
+        if self.splitter.is_oversized() {
+            return Some(ReadOutcome::Failure(AttemptFailure::Garbled));
         }
-        join(ready).map(PieceOutcome::Bytes)
+        join(ready).map(ReadOutcome::Bytes)
     }
 }
 
-fn join(mut pieces: VecDeque<Bytes>) -> Option<Bytes> {
-    let first = pieces.pop_front()?;
-    if pieces.is_empty() {
+fn join(mut events: VecDeque<Bytes>) -> Option<Bytes> {
+    let first = events.pop_front()?;
+    if events.is_empty() {
         return Some(first);
     }
     let mut joined = BytesMut::from(first);
-    for piece in pieces {
-        joined.extend_from_slice(&piece);
+    for event in events {
+        joined.extend_from_slice(&event);
     }
     Some(joined.freeze())
 }
--- a/crates/hollyhook_gateway/src/forward/liveness_watch.rs
+++ b/crates/hollyhook_gateway/src/forward/liveness_watch.rs
@@ -16,22 +16,22 @@
 /// Prompt tokens that an engine prefills per millisecond, according to the deployments' data sheets.
 const PROMPT_TOKENS_PER_MS: u64 = 8;
 
-/// Limits how long an attempt may send nothing before its engine is probed, and judges the reports.
+/// Limits how long an attempt may send nothing before its engine is probed, and evaluates the reports.
 pub(super) struct LivenessWatch {
     timeout: Duration,
-    judge: LivenessChecker,
+    checker: LivenessChecker,
 }
 
 impl LivenessWatch {
     /// Creates a watch for an attempt that has already sent an event.
     pub(super) fn between_events() -> Self {
-        Self { timeout: EVENT_TIMEOUT, judge: LivenessChecker::default() }
+        Self { timeout: EVENT_TIMEOUT, checker: LivenessChecker::default() }
     }
 
     /// Creates a watch for an attempt whose engine prefills this many tokens before the first event.
     pub(super) fn before_first(prompt_tokens: u64) -> Self {
-        let reading = Duration::from_millis(prompt_tokens / PROMPT_TOKENS_PER_MS);
-        Self { timeout: FIRST_EVENT_TIMEOUT + reading, judge: LivenessChecker::default() }
+        let prefill = Duration::from_millis(prompt_tokens / PROMPT_TOKENS_PER_MS);
+        Self { timeout: FIRST_EVENT_TIMEOUT + prefill, checker: LivenessChecker::default() }
     }
 
     /// How long to wait for the next bytes: the timeout, capped by the caller's time left.
@@ -57,7 +57,7 @@
         }
         let report = probe_silent(context, target).await;
         self.timeout = EVENT_TIMEOUT;
-        match self.judge.check(report.as_ref(), &caller.head.attempt_id, delivered) {
+        match self.checker.check(report.as_ref(), &caller.head.attempt_id, delivered) {
             LivenessVerdict::Wait => Ok(()),
             LivenessVerdict::Abandon => Err(AttemptFailure::Silent),
         }
--- a/crates/hollyhook_gateway/src/forward/plain_call.rs
+++ b/crates/hollyhook_gateway/src/forward/plain_call.rs
@@ -108,8 +108,8 @@
         let filter =
             self.context.rollouts.version_filter(&self.caller.service, self.tried.is_empty()).unwrap_or_default();
         let query = RouteQuery::new(&self.caller.service).avoid(&self.tried).versions(&filter);
-        let kept = self.context.pool.idle_for(Duration::ZERO);
-        let query = query.repeatable(self.caller.route.is_retryable()).prefer(&kept);
+        let idle = self.context.pool.idle_for(Duration::ZERO);
+        let query = query.repeatable(self.caller.route.is_retryable()).prefer(&idle);
         EndpointSlot::reserve_any(self.context, &query).ok_or_else(|| self.context.endpoints.routing_failure(&query))
     }
 
@@ -164,13 +164,13 @@
         if verdict == AnswerVerdict::Fail(AttemptFailure::Garbled) {
             return CallOutcome::Failure(AttemptFailure::Garbled);
         }
-        let whole = match response.read_to_end(self.context, slot.id()).await {
-            Ok(whole) => whole,
+        let buffered = match response.read_to_end(self.context, slot.id()).await {
+            Ok(buffered) => buffered,
             Err(failure) => return CallOutcome::Failure(failure),
         };
         match verdict {
-            AnswerVerdict::Pass => CallOutcome::Response(whole),
-            AnswerVerdict::PassOrRetry => CallOutcome::Fallback(whole),
+            AnswerVerdict::Pass => CallOutcome::Response(buffered),
+            AnswerVerdict::PassOrRetry => CallOutcome::Fallback(buffered),
             AnswerVerdict::Fail(failure) => CallOutcome::Failure(failure),
         }
     }
--- a/crates/hollyhook_gateway/src/front/admission.rs
+++ b/crates/hollyhook_gateway/src/front/admission.rs
@@ -40,7 +40,7 @@
     let wait_limit = head.timeout.unwrap_or(route.timeout).min(route.timeout);
     check_not_stopping(&route, wait_limit, context)?;
     let deadline = arrived + wait_limit;
-    let (body, claim) = read_body(body, site.limits().body_bytes, deadline, context).await?;
+    let (body, reservation) = read_body(body, site.limits().body_bytes, deadline, context).await?;
     let service = pick_service(&route)?;
     let engine = site.service(&service).and_then(|service| service.engine);
     Ok(CallerRequest {
@@ -56,7 +56,7 @@
         site_version: site.version(),
         arrived,
         deadline,
-        _reservation: claim,
+        _reservation: reservation,
         _guard: guard,
     })
 }
--- a/crates/hollyhook_gateway/src/front/body_reader.rs
+++ b/crates/hollyhook_gateway/src/front/body_reader.rs
@@ -13,7 +13,8 @@
 /// Retry-After delay if the memory for bodies is used up.
 const MEMORY_RETRY: Duration = Duration::from_millis(500);
 
-/// Reads a caller's whole body within the size and time limits; the returned claim accounts for the body's memory.
+/// Reads a caller's whole body within the size and time limits; the returned reservation accounts for the
+/// body's memory.
 pub(super) async fn read_body(
     body: Incoming,
     max_bytes: usize,
--- a/crates/hollyhook_gateway/src/front/caller_request.rs
+++ b/crates/hollyhook_gateway/src/front/caller_request.rs
@@ -36,7 +36,7 @@
         self.deadline.since(now)
     }
 
-    /// Digest of path, account and body, which identifies the request across the client's attempts.
+    /// Digest of path, account and body, which identifies the request across the caller's attempts.
     pub(crate) fn digest(&self) -> RequestDigest {
         let path = self.uri.path_and_query().map_or("/", |path| path.as_str());
         let account = self.account.as_ref().map(|account| &*account.name);
--- a/crates/hollyhook_gateway/src/gateway/endpoint_directory.rs
+++ b/crates/hollyhook_gateway/src/gateway/endpoint_directory.rs
@@ -13,7 +13,7 @@
 use crate::sync::lock;
 
 /// By how much the load in the own zone may exceed that of other zones, in requests per slot, before requests are sent
-/// to another zone. That adds little latency, but requests that run in another zone are lost when the zones are
+/// to another zone. Another zone adds little latency, but requests that run in another zone are lost when the zones are
 /// partitioned.
 const ZONE_PREFERENCE: f64 = 0.25;
 /// Number of hosts among which a rate limit is divided before the hosts have been listed.
@@ -40,7 +40,8 @@
     table: Mutex<EndpointTable>,
     /// Time until which the table is known to hold all changes; `None` before the first list.
     confirmed: Mutex<Option<TimePoint>>,
-    /// Endpoints that are gone without having announced that they leave, until they are taken.
+    /// Endpoints that are gone without having announced that they leave, until [`take_lost`](Self::take_lost) returns
+    /// them.
     lost: Mutex<Vec<EndpointId>>,
 }
 
@@ -78,7 +79,7 @@
         *confirmed = (*confirmed).max(Some(at));
     }
 
-    /// The age of what this host knows of the endpoints, in milliseconds; `None` before the first list.
+    /// The age of this host's endpoint list in milliseconds; `None` before the first list.
     pub(crate) fn known_ms(&self) -> Option<u64> {
         let confirmed = *lock(&self.confirmed);
         confirmed.map(|at| self.timer.now().since(at).as_millis() as u64)
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Takes the endpoints that are gone, since the last call, without having announced that they leave.
+    /// Takes the endpoints that have gone since the last call without having announced that they leave.
     pub(crate) fn take_lost(&self) -> Vec<EndpointId> {
         std::mem::take(&mut *lock(&self.lost))
     }
@@ -234,7 +235,7 @@
 
     /// Why no endpoint accepts a request.
     ///
-    /// The request counts as held back if all endpoints for it are paused or have reached their rate limit.
+    /// The reason is `Throttled` if all endpoints for the request are paused or have reached their rate limit.
     pub(crate) fn routing_failure(&self, query: &RouteQuery<'_>) -> RoutingFailure {
         match self.table().shortest_pause(self.timer.now(), query) {
             Some(pause) => {
--- a/crates/hollyhook_gateway/src/gateway/gateway_context.rs
+++ b/crates/hollyhook_gateway/src/gateway/gateway_context.rs
@@ -25,10 +25,11 @@
 /// changes while the store compacts its history, and the round trip to the store.
 const CONFIRMATION_MARGIN: Duration = Duration::from_millis(1_250);
 /// How long after the start of the process a request may wait for the configuration and the endpoints to be read from
-/// the store. Reading both takes about a tenth of a second on the smallest hosts, and callers return at the moment at
-/// which hosts are up again.
+/// the store. Reading both takes about a tenth of a second on the smallest hosts, and callers reconnect as soon as
+/// hosts are up again.
 const START_WAIT: Duration = Duration::from_millis(600);
-/// How often a waiting request checks whether both have been read.
+/// How often a waiting request checks whether the configuration and the endpoints have been read, and a waiting task
+/// whether the other hosts have been listed.
 const START_CHECK: Duration = Duration::from_millis(10);
 
 /// How long after its start a process waits for the other hosts to be listed before it watches the store. Hosts that
@@ -176,7 +177,7 @@
 
     /// Waits, shortly after the start of the process, until all versions have been looked up among the roll-out orders.
     ///
-    /// Until then only the version of most endpoints gets requests, which need not be the one that should get them.
+    /// Until then only the version that most endpoints run gets requests, which may not be the version that should.
     pub(crate) async fn wait_for_versions(&self) {
         self.wait_while_starting(SITE_CHECK, || !self.rollouts.has_unchecked_versions()).await;
     }
--- a/crates/hollyhook_gateway/src/gateway/quarantine_tracker.rs
+++ b/crates/hollyhook_gateway/src/gateway/quarantine_tracker.rs
@@ -51,7 +51,7 @@
         ledger.refusal(unix_millis(), &digest())
     }
 
-    /// Whether an endpoint crashed while running a request since one last ran it without crashing.
+    /// Whether an endpoint crashed while running a request since an endpoint last ran the request without crashing.
     pub(crate) fn is_suspected(&self, digest: impl FnOnce() -> RequestDigest) -> bool {
         let ledger = lock(&self.ledger);
         !ledger.is_empty() && ledger.is_suspected(&digest())
@@ -161,12 +161,12 @@
 
     /// Whether this host has to write crash records and no task does so yet; if so, the caller has to write them.
     ///
-    /// `is_reader` tells whether this host reads the store on behalf of others. The call takes a while, and is made
+    /// `is_reader` tells whether this host reads the store on behalf of others. The closure is slow, and is called
     /// only if a record is missing in the store.
     pub(crate) fn begin_writing(&self, is_reader: impl FnOnce() -> bool) -> bool {
-        let is_missing = lock(&self.ledger).has_records_to_write(true);
-        let is_own = || lock(&self.ledger).has_records_to_write(is_reader());
-        is_missing && is_own() && !self.is_writing.swap(true, Ordering::AcqRel)
+        let has_any = lock(&self.ledger).has_records_to_write(true);
+        let has_own = || lock(&self.ledger).has_records_to_write(is_reader());
+        has_any && has_own() && !self.is_writing.swap(true, Ordering::AcqRel)
     }
 
     /// Records that the task that began the writing has ended.
--- a/crates/hollyhook_gateway/src/gateway/retry_budgets.rs
+++ b/crates/hollyhook_gateway/src/gateway/retry_budgets.rs
@@ -43,21 +43,21 @@
 
     /// Counts the first send of a request, which adds to the budget.
     pub(crate) fn earn(&self, service: &Name, now: TimePoint) {
-        self.act(service, |window| window.earn(now));
+        self.with_window(service, |window| window.earn(now));
     }
 
     /// Whether the budget allows one more retry; if so, the retry is counted.
     pub(crate) fn try_spend(&self, service: &Name, now: TimePoint) -> bool {
-        self.act(service, |window| window.try_spend(now))
+        self.with_window(service, |window| window.try_spend(now))
     }
 
-    fn act<T>(&self, service: &Name, act: impl FnOnce(&mut RetryWindow) -> T) -> T {
+    fn with_window<T>(&self, service: &Name, apply: impl FnOnce(&mut RetryWindow) -> T) -> T {
         let mut state = lock(&self.inner);
         let bounds = state.bounds;
         let window = state.windows.entry(Name::clone(service)).or_insert_with(|| {
             let reserve = (bounds.extra / RETRY_HOSTS) as u32;
             RetryWindow::new(bounds.window, bounds.ratio * RETRY_SHARE, reserve)
         });
-        act(window)
+        apply(window)
     }
 }
--- a/crates/hollyhook_gateway/src/gateway/rollout_tracker.rs
+++ b/crates/hollyhook_gateway/src/gateway/rollout_tracker.rs
@@ -32,6 +32,7 @@
     board: Arc<MetricBoard>,
     endpoints: Arc<EndpointDirectory>,
     state: Mutex<TrackerState>,
+    /// Tasks that wait until a version has to be looked up among the orders.
     waiters: WakeList,
     /// Whether a task of this host reports evidence and decides about roll-outs.
     is_working: AtomicBool,
@@ -213,7 +214,7 @@
 
     /// Updates the unchecked versions from the known endpoints, and wakes the waiting task if there are any.
     ///
-    /// If no version of a service has been checked, the version of most endpoints counts as checked. A service whose
+    /// If no version of a service has been checked, the version that most endpoints run counts as checked. A service whose
     /// endpoints all run one version therefore has no unchecked version: there is no other version to move requests to.
     pub(crate) fn check_versions(&self) {
         let mut state = lock(&self.state);
--- a/crates/hollyhook_gateway/src/net/persistent_client.rs
+++ b/crates/hollyhook_gateway/src/net/persistent_client.rs
@@ -70,7 +70,7 @@
             .inner
             .send(request)
             .await
-            .map_err(|_fault| ExchangeError("the connection failed or sent no valid response head"))?;
+            .map_err(|_error| ExchangeError("the connection failed or sent no valid response head"))?;
         let (parts, body) = response.into_parts();
         let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
         let body = body.map_err(|_error| ExchangeError("the response body was truncated or too large"))?.to_bytes();
--- a/crates/hollyhook_gateway/src/peer/feed_server.rs
+++ b/crates/hollyhook_gateway/src/peer/feed_server.rs
@@ -70,7 +70,7 @@
         let signal = context.feed.update_signal();
         let update = context.feed.update_after(query.kind, query.after);
         let time_left = deadline.since(context.timer.now());
-        // After a loss of all hosts, a host that is asked starts at the same moment as the host that asks, and may not
+        // After a loss of all hosts, this host starts at the same moment as the host that sent the query, and may not
         // have received an update yet.
         let is_pending = update.as_ref().map_or(!context.feed.has_updates(query.kind), FeedUpdate::is_empty);
         if !is_pending || time_left.is_zero() {
--- a/crates/hollyhook_gateway/src/store/endpoint_watch.rs
+++ b/crates/hollyhook_gateway/src/store/endpoint_watch.rs
@@ -17,13 +17,13 @@
 /// of a large site change all the time, and each watch that returns is a call. With few endpoints the delay is short,
 /// because an outdated table costs callers more than the additional calls cost the store.
 const BATCH_DELAY_PER_ENDPOINT: Duration = Duration::from_millis(10);
-/// Lower bound of that delay.
+/// Lower bound of the delay that results from [`BATCH_DELAY_PER_ENDPOINT`].
 const MIN_BATCH_DELAY: Duration = Duration::from_millis(400);
 /// The delay at a follower, which calls another host and costs the store nothing. Engines that crash together return
 /// after about a second under new names; until a follower learns the new names, each engine rejects its requests.
 const FOLLOWER_BATCH_DELAY: Duration = Duration::from_millis(400);
-/// Upper bound of that delay, as a fraction of the time within which this host must stop sending requests to a leaving
-/// endpoint.
+/// Upper bound of the delay that results from [`BATCH_DELAY_PER_ENDPOINT`], as a fraction of the time within which this
+/// host must stop sending requests to a leaving endpoint.
 const MAX_BATCH_FRACTION: f64 = 0.4;
 
 /// Keeps the endpoint table up to date with the endpoints' entries in the store.
@@ -36,8 +36,8 @@
     grace_start: Option<TimePoint>,
     /// Revision of the first update of the store's current era.
     era_start: StoreRevision,
-    /// Entries of the older copy that the store was restored from which look outdated: their endpoint has left since,
-    /// or the state that they list was superseded.
+    /// Entries that look outdated after the store was restored from an older copy: their endpoint has left since that
+    /// copy was made, or the state that they list was superseded.
     suspect_entries: BTreeMap<Name, StoreObject>,
     /// Malformed entries, and the revision of each that was last logged.
     malformed: BTreeMap<Name, u64>,
@@ -197,7 +197,7 @@
                 self.context.endpoints.upsert(record);
             }
             Err(error) => {
-                // Whoever wrote the entry, it no longer describes a usable endpoint.
+                // Whoever wrote the entry: it no longer describes a usable endpoint.
                 self.context.endpoints.remove_entry(&object.name, "malformed");
                 let logged = self.malformed.insert(Name::clone(&object.name), object.revision);
                 if logged != Some(object.revision) {
--- a/crates/hollyhook_gateway/src/store/feed_reader.rs
+++ b/crates/hollyhook_gateway/src/store/feed_reader.rs
@@ -179,14 +179,14 @@
         hosts: &[HostRecord],
     ) -> Option<FeedUpdate<StoreObject>> {
         for host in hosts {
-            let question = PeerRequest {
+            let request = PeerRequest {
                 role,
                 kind: self.kind,
                 after: self.revision,
                 timing: self.context.feed_timing(),
                 sent_at: self.context.timer.now(),
             };
-            match self.peers.fetch_update(host, question).await {
+            match self.peers.fetch_update(host, request).await {
                 Ok(update) if update.revision.era < self.context.feed.era() => {
                     let detail = "its copy is of an earlier era of the store";
                     self.skip_host(role, host, PeerError { reason: SkipReason::Stale, detail });
@@ -195,7 +195,7 @@
                     self.observe_peer_era(host, &update);
                     return Some(update);
                 }
-                Err(fault) => self.skip_host(role, host, fault),
+                Err(error) => self.skip_host(role, host, error),
             }
         }
         None
@@ -210,17 +210,17 @@
     }
 
     /// Logs that a host provided no usable update, and excludes the host as a source or helper for a while.
-    fn skip_host(&self, role: PeerRole, host: &HostRecord, fault: PeerError) {
+    fn skip_host(&self, role: PeerRole, host: &HostRecord, error: PeerError) {
         let now = self.context.timer.now();
         match role {
             PeerRole::Leader | PeerRole::Source | PeerRole::ListSource => {
-                tracing::info!(leader = %host.host, kind = self.kind.as_str(), reason = fault.detail, "leader.passed_over");
+                tracing::info!(leader = %host.host, kind = self.kind.as_str(), reason = error.detail, "leader.passed_over");
                 self.context.board.count("leaders_passed_over");
-                self.context.feed.skip_source(now, &host.host, fault.reason);
+                self.context.feed.skip_source(now, &host.host, error.reason);
             }
             PeerRole::Helper => {
-                tracing::info!(helper = %host.host, kind = self.kind.as_str(), reason = fault.detail, "helper.passed_over");
-                self.context.feed.skip_helper(now, &host.host, fault.reason);
+                tracing::info!(helper = %host.host, kind = self.kind.as_str(), reason = error.detail, "helper.passed_over");
+                self.context.feed.skip_helper(now, &host.host, error.reason);
             }
         }
     }
--- a/crates/hollyhook_gateway/src/store/partial_list.rs
+++ b/crates/hollyhook_gateway/src/store/partial_list.rs
@@ -3,9 +3,9 @@
 
 /// The pages read so far of a list of all objects of a kind.
 ///
-/// It is kept if the call for a page fails, so that the list continues with that page. If hundreds of hosts instead
-/// read thousands of entries again from the start, they would keep the store's link so busy that their calls go on
-/// failing.
+/// The pages are kept if the call for the next one fails, so that the list continues with that page. If hundreds of
+/// hosts instead read thousands of entries again from the start, they would keep the store's link so busy that their
+/// calls would continue to fail.
 #[derive(Debug)]
 pub(super) struct PartialList {
     /// When the first page was requested; later changes may be missing.
--- a/crates/hollyhook_gateway/src/store/rollout_watch.rs
+++ b/crates/hollyhook_gateway/src/store/rollout_watch.rs
@@ -12,7 +12,7 @@
 /// How long a watch waits for changes while no roll-out is active; a change of any order ends it at once.
 const IDLE_WAIT: Duration = Duration::from_secs(25);
 /// How long a watch waits while a roll-out is active or an order is malformed. A host whose connection to the store
-/// died may send requests to a version on trial for so long.
+/// died may send requests to a version on trial for this long.
 const ACTIVE_WAIT: Duration = Duration::from_millis(1_200);
 /// Time that a call may take beyond its wait.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
@@ -23,7 +23,7 @@
 /// Delay after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Keeps the operator's roll-out orders up to date, which move services to other versions.
+/// Keeps this host's view of the operator's roll-out orders, which move services to other versions, up to date.
 ///
 /// Hosts that read the store themselves watch the orders all the time. The other hosts list them when an endpoint of
 /// an unknown version registers, and watch them while a version is on trial. A host sends no requests to an unknown
--- a/crates/hollyhook_gateway/src/store/store_client.rs
+++ b/crates/hollyhook_gateway/src/store/store_client.rs
@@ -19,7 +19,7 @@
 /// Why a call to the store failed.
 #[derive(Debug)]
 pub(crate) enum StoreError {
-    /// The store sent no usable response, or one which states that the call had no effect.
+    /// The store sent no usable response, or one with an unexpected status.
     Unavailable(&'static str),
     /// A watch or the next page of a list can't continue from its revision; all objects have to be listed again.
     HistoryGone,
@@ -38,14 +38,14 @@
             Self::HistoryGone => f.write_str("can't continue from the requested revision; listing all objects again"),
             Self::Throttled => f.write_str("the store rejected the call because of its rate limit (HTTP status 429)"),
             Self::Conflict => f.write_str("the object exists already, or was changed since it was read"),
-            Self::Malformed(fault) => fault.fmt(f),
+            Self::Malformed(error) => error.fmt(f),
         }
     }
 }
 
 impl From<ExchangeError> for StoreError {
-    fn from(fault: ExchangeError) -> Self {
-        Self::Unavailable(fault.0)
+    fn from(error: ExchangeError) -> Self {
+        Self::Unavailable(error.0)
     }
 }
 
@@ -56,7 +56,7 @@
     feed: Arc<FeedState>,
     /// Returns the store's current address, which a reload of the settings may change.
     address: Box<dyn Fn() -> SocketAddr + Send + Sync>,
-    /// Address of the store at which the last list began; revisions of a store at another address don't compare.
+    /// Address of the store at which the last list began; revisions of a store at another address are not comparable.
     listed_address: Option<SocketAddr>,
 }
 
