--- a/crates/hollyhook_gateway/src/forward/event_stream.rs
+++ b/crates/hollyhook_gateway/src/forward/event_stream.rs
@@ -20,7 +20,7 @@
 use super::backup_replicator::BackupReplicator;
 use super::crash_check::{SURVIVAL_TIME, check_crash, record_given_up, record_survival};
 use super::engine_choice::{BackupLocation, EngineChoice, EngineChooser};
-use super::live_attempt::{AttemptStart, LiveAttempt, ReadOutcome};
+use super::live_attempt::{AttemptStart, LiveAttempt, ReadResult};
 use super::liveness_watch::LivenessWatch;
 use super::request_log;
 use super::stream_timing::StreamTiming;
@@ -129,17 +129,17 @@
                 continue;
             };
             match live.next_events(&self.context, &self.caller, &mut self.sequencer).await {
-                ReadOutcome::Bytes(bytes) => {
+                ReadResult::Bytes(bytes) => {
                     if let Some(resume) = self.timing.record_event(self.context.timer.now()) {
                         request_log::resumed(&self.context, &self.caller, &resume);
                     }
                     return Some(Ok(bytes));
                 }
-                ReadOutcome::Complete => {
+                ReadResult::Complete => {
                     self.complete();
                     return None;
                 }
-                ReadOutcome::Failure(failure) => {
+                ReadResult::Failure(failure) => {
                     if let Err(error) = self.abandon_attempt(failure).await {
                         return Some(Err(self.finish_with_error(error)));
                     }
--- a/crates/hollyhook_gateway/src/forward/live_attempt.rs
+++ b/crates/hollyhook_gateway/src/forward/live_attempt.rs
@@ -35,8 +35,8 @@
     events: u32,
 }
 
-/// Outcome of reading the next events of an attempt.
-pub(super) enum ReadOutcome {
+/// Result of reading the next events of an attempt.
+pub(super) enum ReadResult {
     /// Whole events for the caller.
     Bytes(Bytes),
     /// The response body ended after a whole event.
@@ -79,15 +79,15 @@
         context: &GatewayContext,
         caller: &CallerRequest,
         sequencer: &mut EventSequencer,
-    ) -> ReadOutcome {
+    ) -> ReadResult {
         let mut watch = if self.first_event_at.is_some() {
             LivenessWatch::between_events()
         } else {
             LivenessWatch::before_first(caller.head.prompt.unwrap_or_default().prompt_tokens)
         };
         loop {
-            if let Some(outcome) = self.drain_events(sequencer, context.timer.now()) {
-                return outcome;
+            if let Some(result) = self.drain_events(sequencer, context.timer.now()) {
+                return result;
             }
             let limit = watch.limit(caller.time_left(context.timer.now()));
             match context.timer.within(limit, self.response.body.frame()).await {
@@ -96,15 +96,13 @@
                         self.splitter.feed(&data);
                     }
                 }
-                Some(Some(Err(_error))) => return ReadOutcome::Failure(AttemptFailure::Broken),
-                Some(None) if self.splitter.has_partial_event() => {
-                    return ReadOutcome::Failure(AttemptFailure::Garbled);
-                }
-                Some(None) => return ReadOutcome::Complete,
+                Some(Some(Err(_error))) => return ReadResult::Failure(AttemptFailure::Broken),
+                Some(None) if self.splitter.has_partial_event() => return ReadResult::Failure(AttemptFailure::Garbled),
+                Some(None) => return ReadResult::Complete,
                 None => {
                     let delivered = self.delivered(sequencer);
                     if let Err(failure) = watch.check(context, caller, &self.slot.target, delivered).await {
-                        return ReadOutcome::Failure(failure);
+                        return ReadResult::Failure(failure);
                     }
                 }
             }
@@ -123,7 +121,7 @@
     }
 
     /// Takes the buffered whole events and returns those that the caller does not have yet.
-    fn drain_events(&mut self, sequencer: &mut EventSequencer, now: TimePoint) -> Option<ReadOutcome> {
+    fn drain_events(&mut self, sequencer: &mut EventSequencer, now: TimePoint) -> Option<ReadResult> {
         let mut ready = VecDeque::new();
         while let Some(event) = self.splitter.next_event() {
             self.first_event_at.get_or_insert(now);
@@ -133,7 +131,7 @@
                 SequenceVerdict::Deliver => ready.push_back(event.bytes),
                 SequenceVerdict::Drop => {}
                 SequenceVerdict::Gap if ready.is_empty() => {
-                    return Some(ReadOutcome::Failure(AttemptFailure::Garbled));
+                    return Some(ReadResult::Failure(AttemptFailure::Garbled));
                 }
                 // The events before the gap are delivered first. The later events of this attempt are gaps too, so that
                 // the attempt fails at the next of them.
@@ -141,9 +139,9 @@
             }
         }
         if self.splitter.is_oversized() {
-            return Some(ReadOutcome::Failure(AttemptFailure::Garbled));
+            return Some(ReadResult::Failure(AttemptFailure::Garbled));
         }
-        join(ready).map(ReadOutcome::Bytes)
+        join(ready).map(ReadResult::Bytes)
     }
 }
 
