--- a/crates/hollyhook_daemon/src/call/claim_service.rs
+++ b/crates/hollyhook_daemon/src/call/claim_service.rs
@@ -95,7 +95,7 @@
         reply.recv().await.map_err(|_closed| overloaded_error("the host is stopping"))?
     }
 
-    /// Builds the claim of a call on its key.
+    /// Builds the record with which a call claims its idempotency key.
     pub(crate) fn new_record(&self, account: &str, service: &str, key: &str, request: &[u8]) -> ClaimRecord {
         ClaimRecord {
             key: hex_digest(&[account.as_bytes(), service.as_bytes(), key.as_bytes()]),
--- a/crates/hollyhook_daemon/src/daemon/assembly.rs
+++ b/crates/hollyhook_daemon/src/daemon/assembly.rs
@@ -53,7 +53,7 @@
         let (cancels, cancel_commands) = Mailbox::bounded(CancelCommand::MAILBOX, CancelCommand::CAPACITY);
         let registry = register_services(&settings, site, cancels)?;
         let engine = EngineClient::new(CONNECT_TIMEOUT);
-        let context = Arc::new(HostContext::find(&registry, &settings, engine)?);
+        let context = Arc::new(HostContext::from_registry(&registry, &settings, engine)?);
         let mut daemon =
             Self { address, peer_address, gate: gate.clone(), context: Arc::clone(&context), tasks: Vec::new() };
         daemon.spawn(run_cancels(Arc::clone(&context), cancel_commands));
--- a/crates/hollyhook_daemon/src/fleet/cancel_service.rs
+++ b/crates/hollyhook_daemon/src/fleet/cancel_service.rs
@@ -32,9 +32,9 @@
 
 /// Sends each cancellation to its endpoint, and retries it until the endpoint confirms or `RETRY_PERIOD` has passed.
 pub(crate) async fn run_cancels(context: Arc<HostContext>, commands: Receiver<CancelCommand>) {
-    let (permit, permits) = async_channel::bounded::<()>(MAX_CONCURRENT_CALLS);
+    let (permit_sender, permits) = async_channel::bounded::<()>(MAX_CONCURRENT_CALLS);
     while let Ok(command) = commands.recv().await {
-        if permit.send(()).await.is_err() {
+        if permit_sender.send(()).await.is_err() {
             return;
         }
         let context = Arc::clone(&context);
--- a/crates/hollyhook_daemon/src/fleet/host_context.rs
+++ b/crates/hollyhook_daemon/src/fleet/host_context.rs
@@ -38,7 +38,12 @@
     /// The name that the site's settings are registered under.
     pub(crate) const SITE: &'static str = "site";
 
-    pub(crate) fn find(registry: &ServiceRegistry, settings: &ProcessSettings, engine: EngineClient) -> Result<Self> {
+    /// Looks up all services in the registry.
+    pub(crate) fn from_registry(
+        registry: &ServiceRegistry,
+        settings: &ProcessSettings,
+        engine: EngineClient,
+    ) -> Result<Self> {
         Ok(Self {
             host: Name::clone(&settings.host),
             zone: ZoneName::clone(&settings.zone),
--- a/crates/hollyhook_daemon/src/fleet/resume_service.rs
+++ b/crates/hollyhook_daemon/src/fleet/resume_service.rs
@@ -25,11 +25,11 @@
         Self { state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Waits until a resume is admitted; resumes with a lower urgency number are admitted first.
-    pub(crate) async fn acquire(&self, urgency: u8) -> ResumePermit {
+    /// Waits until a resume is admitted; resumes with a lower priority number are admitted first.
+    pub(crate) async fn acquire(&self, priority: u8) -> ResumePermit {
         let (permit, admission) = {
             let mut state = self.lock();
-            let ticket = state.gate.enter(urgency);
+            let ticket = state.gate.enter(priority);
             let permit = ResumePermit { service: self.clone(), ticket };
             if state.gate.is_admitted(ticket) {
                 (permit, None)
--- a/crates/hollyhook_daemon/src/front/generate.rs
+++ b/crates/hollyhook_daemon/src/front/generate.rs
@@ -120,7 +120,7 @@
 ///
 /// # Errors
 ///
-/// `InvalidRequest` if it is empty or too long.
+/// `InvalidRequest` if the key is empty or longer than [`MAX_KEY_LENGTH`].
 pub(super) fn read_idempotency_key(request: &Request<FrontState>) -> Result<Option<String>> {
     let Some(key) = request.header("idempotency-key").map(|values| values.as_str()) else {
         return Ok(None);
--- a/crates/hollyhook_daemon/src/relay/attempt_link.rs
+++ b/crates/hollyhook_daemon/src/relay/attempt_link.rs
@@ -53,8 +53,8 @@
         self.usage
     }
 
-    /// The next event if it is available without waiting.
-    pub(super) fn ready(&mut self) -> Option<RelayEvent> {
+    /// The next event among the bytes already received, or `None` if they hold no complete event.
+    pub(super) fn next_buffered(&mut self) -> Option<RelayEvent> {
         let LinkPhase::Reading(stream) = &mut self.phase else {
             return None;
         };
--- a/crates/hollyhook_daemon/src/relay/relay_driver.rs
+++ b/crates/hollyhook_daemon/src/relay/relay_driver.rs
@@ -103,7 +103,7 @@
     /// Events that have arrived take precedence over the timer, so that a delayed driver does not mistake its own delay
     /// for silence of the endpoint.
     async fn next_event(&mut self) -> RelayEvent {
-        if let Some(event) = self.attempt.as_mut().and_then(AttemptLink::ready) {
+        if let Some(event) = self.attempt.as_mut().and_then(AttemptLink::next_buffered) {
             return event;
         }
         if !self.link.flush().await {
@@ -174,12 +174,12 @@
             settings: self.task.settings.clone(),
             affinity: self.has_affinity.then(|| self.generation.bits()),
         };
-        let urgency = self.task.class.priority();
+        let priority = self.task.class.priority();
         let event_sender = self.event_sender.clone();
         let permit_sender = self.permit_sender.clone();
         let _released = self.permit.try_recv();
         task::spawn(async move {
-            let permit = if is_resume { Some(search.context.resumes.acquire(urgency).await) } else { None };
+            let permit = if is_resume { Some(search.context.resumes.acquire(priority).await) } else { None };
             let event = search.run(attempt, &avoid);
             if let Some(permit) = permit {
                 let _gone = permit_sender.try_send(permit);
--- a/crates/hollyhook_settings/src/file/section_reader.rs
+++ b/crates/hollyhook_settings/src/file/section_reader.rs
@@ -3,7 +3,7 @@
 use super::{SettingEntry, SettingError, SettingSection};
 use crate::value::ValueError;
 
-/// Least Jaro-Winkler similarity at which a known key is suggested for an unknown one.
+/// Minimum Jaro-Winkler similarity at which a known key is suggested for an unknown one.
 const MIN_SIMILARITY: f64 = 0.75;
 
 /// Reads the keys of one section, collects the errors, and records which keys the section may have.
--- a/crates/hollyhook_settings/src/gateway/gateway_bounds.rs
+++ b/crates/hollyhook_settings/src/gateway/gateway_bounds.rs
@@ -6,41 +6,43 @@
 const MILLISECOND: Duration = Duration::from_millis(1);
 const HOUR: Duration = Duration::from_hours(1);
 
-/// Bounds on a gateway's behaviour, set by the operator of the platform.
+/// Limits that the operator of the platform sets on a gateway's behaviour.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatewayBounds {
-    /// Longest time after the revocation of a key for which requests with this key may still run.
+    /// Maximum time after the revocation of an API key during which requests with the key may still be accepted.
     pub revoke: Duration,
-    /// Longest time after an endpoint announced that it is leaving for which it may still get new requests.
+    /// Maximum time after an endpoint announced that it is leaving during which it may still get new requests.
     pub drain: Duration,
-    /// Longest time after a configuration version was accepted for which requests may still be handled by the previous
-    /// version.
+    /// Maximum time after a new configuration version was accepted during which requests may still be handled according
+    /// to the previous version.
     pub config: Duration,
-    /// Longest time from when a host can reach the store again until it acts on all changes that the store had
-    /// acknowledged before.
+    /// Maximum time, once a host can reach the store again after an outage, until the host acts on all changes that the
+    /// store acknowledged before the end of the outage.
     pub contact: Duration,
-    /// Longest time for which the process may run on after SIGTERM.
+    /// Maximum time for which the process may keep running after SIGTERM.
     pub grace: Duration,
-    /// Limit on the retries of all hosts together.
+    /// Limit on the retries to each service, by all hosts together.
     pub retry: RetryBounds,
-    /// Largest fraction of a service's requests that a version may get before it has its verdict; `None` if the
-    /// platform orders no roll-outs.
+    /// Maximum fraction of a service's requests that a version on trial may get before the verdict on the version;
+    /// `None` disables roll-outs.
     pub exposure: Option<f64>,
 }
 
-/// Limit on the retries to one service by all hosts together: all sends of a request beyond its first.
+/// Limit on the retries to one service, by all hosts together.
+///
+/// Each send of a request after its first send counts as a retry.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBounds {
-    /// Retries allowed per request in the window.
+    /// Retries allowed in the window per request sent in the window.
     pub ratio: f64,
-    /// The time window in which requests and retries are counted.
+    /// Length of the time window over which requests and retries are counted.
     pub window: Duration,
-    /// Retries allowed in the window in addition to the ratio.
+    /// Retries allowed in the window in addition to those that the ratio allows.
     pub extra: u64,
 }
 
 impl Default for GatewayBounds {
-    /// Returns cautious bounds, for a platform that sets none.
+    /// Returns cautious values, which apply to each bound that the settings file does not set.
     fn default() -> Self {
         Self {
             revoke: Duration::from_secs(5),
--- a/crates/hollyhook_settings/src/gateway/gateway_settings.rs
+++ b/crates/hollyhook_settings/src/gateway/gateway_settings.rs
@@ -13,23 +13,24 @@
 pub struct GatewaySettings {
     /// The host's name.
     pub host: Name,
-    /// Its availability zone.
+    /// The host's availability zone.
     pub zone: ZoneName,
-    /// The address on which it serves callers.
+    /// The address on which the gateway serves callers.
     pub listen: SocketAddr,
-    /// The address on which it answers readiness checks.
+    /// The address on which the gateway answers readiness checks.
     pub ready_listen: SocketAddr,
-    /// The address on which it serves metrics; `None` if it serves none.
+    /// The address on which the gateway serves metrics; `None` if metrics are not served.
     pub metrics_listen: Option<SocketAddr>,
-    /// The address on which it passes the store's contents on to other hosts; `None` if it shares nothing.
+    /// The address on which the gateway serves its copy of the store's contents to other hosts; `None` if the copy is not
+    /// served.
     pub peer_listen: Option<SocketAddr>,
     /// The address of the platform's store.
     pub store: SocketAddr,
-    /// Most bytes of memory that the process may use.
+    /// Maximum memory that the process may use, in bytes.
     pub memory_bytes: usize,
     /// Speed of the host's network link in Mbit/s; 0 if not set. Hosts with faster links send more data to other hosts.
     pub link_mbps: u32,
-    /// Bounds on its behaviour, set by the operator of the platform.
+    /// Limits that the operator of the platform sets on the gateway's behaviour.
     pub bounds: GatewayBounds,
     /// How log lines are written.
     pub log_format: LogFormat,
--- a/crates/hollyhook_settings/src/process/process_settings.rs
+++ b/crates/hollyhook_settings/src/process/process_settings.rs
@@ -26,17 +26,17 @@
 pub struct ProcessSettings {
     /// The host's name.
     pub host: Name,
-    /// Its availability zone.
+    /// The host's availability zone.
     pub zone: ZoneName,
-    /// The address on which it serves callers.
+    /// The address on which the daemon serves callers.
     pub listen: SocketAddr,
-    /// The address on which it serves other daemons and the operator's command.
+    /// The address on which the daemon serves other daemons and the operator's command.
     pub peer_listen: SocketAddr,
     /// Number of worker threads.
     pub threads: usize,
     /// The peer addresses of the other daemons.
     pub peers: Vec<SocketAddr>,
-    /// The address of the platform; `None` if it uses none.
+    /// The address of the platform; `None` if the daemon uses no platform.
     pub platform: Option<SocketAddr>,
     /// The path of the base file for all sites.
     pub base: PathBuf,
--- a/crates/hollyhook_settings/src/site/limit_settings.rs
+++ b/crates/hollyhook_settings/src/site/limit_settings.rs
@@ -6,9 +6,9 @@
 /// Limits and timeouts of a host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LimitSettings {
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body: usize,
-    /// Most open connections of callers.
+    /// Maximum number of open connections of callers.
     pub connections: usize,
     /// Timeout for a request's head after its first byte, and for each further read of its body.
     pub read_timeout: Duration,
@@ -18,7 +18,7 @@
     pub idle_timeout: Duration,
     /// How long a cursor stays valid.
     pub cursor_age: Duration,
-    /// Most resumes that may be opened at the same time.
+    /// Maximum number of concurrent resumes.
     pub resumes: usize,
     /// Allowed retries as a fraction of first attempts.
     pub retry_share: f64,
--- a/crates/hollyhook_settings/src/site/service_settings.rs
+++ b/crates/hollyhook_settings/src/site/service_settings.rs
@@ -48,7 +48,7 @@
 pub enum ServiceKind {
     /// Model engines.
     Generation(GenerationSettings),
-    /// Plain endpoints, which get callers' HTTP requests unchanged.
+    /// Plain HTTP endpoints, which get each call with the caller's method, path, query and body.
     Plain(PlainSettings),
 }
 
@@ -57,7 +57,7 @@
 pub struct GenerationSettings {
     /// The model, its version and its adapter.
     pub binding: ModelBinding,
-    /// Most tokens of prompt and output together.
+    /// Maximum number of prompt and output tokens together.
     pub context_tokens: u64,
     /// Timeouts by which failed attempts are detected and replaced.
     pub policy: RelayPolicy,
--- a/crates/hollyhook_settings/src/site/site_parser.rs
+++ b/crates/hollyhook_settings/src/site/site_parser.rs
@@ -148,11 +148,11 @@
         let mut models = BTreeMap::new();
         let mut prefixes = BTreeMap::new();
         for service in services {
-            let (taken, value, field) = match &service.kind {
+            let (owners, value, field) = match &service.kind {
                 ServiceKind::Generation(generation) => (&mut models, &generation.binding.model, "model"),
                 ServiceKind::Plain(plain) => (&mut prefixes, &plain.prefix, "prefix"),
             };
-            if let Some(first) = taken.insert(Name::clone(value), &service.name) {
+            if let Some(first) = owners.insert(Name::clone(value), &service.name) {
                 let problem = format!("the {field} `{value}` is already used by the service `{first}`");
                 self.report(sections, &format!("service {}", service.name), &problem, "give each service its own");
             }
--- a/crates/hollyhook_settings/src/value/value_parsers.rs
+++ b/crates/hollyhook_settings/src/value/value_parsers.rs
@@ -114,7 +114,7 @@
     }
 }
 
-/// Parses a fraction from 0 to 1 without a unit, such as `0.1`, the form that platforms use.
+/// Parses a fraction from 0 to 1 without a unit, such as `0.1`; platforms write fractions in this form.
 pub(crate) fn fraction(text: &str) -> Parsed<f64> {
     match text.parse::<f64>() {
         Ok(number) if (0.0..=1.0).contains(&number) => Ok(number),
--- a/crates/hollyhook_telemetry/src/metric/metric_text.rs
+++ b/crates/hollyhook_telemetry/src/metric/metric_text.rs
@@ -13,8 +13,8 @@
 use super::metric_recorder::HistogramKey;
 use super::{MetricMeasure, MetricRecorder, ProcessUsage};
 
-/// Upper bounds of the histogram buckets in the metrics text, in seconds. They cover the range from plain calls to
-/// generations that take minutes.
+/// Upper bounds of the histogram buckets in the metrics text, in seconds. They suit plain calls as well as generations;
+/// longer durations are counted in a last bucket without a bound.
 const BUCKET_BOUNDS: [f64; 13] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.7, 1.0, 2.5, 4.5, 25.0];
 const MICROS_PER_SECOND: f64 = 1e6;
 
--- a/crates/hollyhook_wire/src/api/caller_client.rs
+++ b/crates/hollyhook_wire/src/api/caller_client.rs
@@ -24,7 +24,7 @@
 pub enum CallerItem {
     /// A token.
     Token {
-        /// The cursor that resumes the stream behind this token.
+        /// The cursor that resumes the stream after this token.
         cursor: String,
         /// The token's text.
         text: String,
--- a/crates/hollyhook_wire/src/api/caller_request.rs
+++ b/crates/hollyhook_wire/src/api/caller_request.rs
@@ -69,7 +69,7 @@
             return Err(invalid("body", "the body must be a JSON object"));
         };
         let reader = FieldReader { body: &body };
-        reader.refuse_unsupported()?;
+        reader.reject_unsupported()?;
         let max_tokens = match reader.count("max_completion_tokens")? {
             Some(number) => number,
             None => reader.count("max_tokens")?.unwrap_or(DEFAULT_MAX_TOKENS),
@@ -179,7 +179,7 @@
     }
 
     /// Rejects options that a single resumable stream of tokens can't satisfy, rather than ignoring them.
-    fn refuse_unsupported(&self) -> Result<()> {
+    fn reject_unsupported(&self) -> Result<()> {
         for name in ["n", "best_of"] {
             if self.count(name)?.is_some_and(|number| number != 1) {
                 return Err(invalid(name, &format!("`{name}` must be 1: a request is one generation")));
--- a/crates/hollyhook_wire/src/api/engine_client.rs
+++ b/crates/hollyhook_wire/src/api/engine_client.rs
@@ -223,11 +223,11 @@
                 return item;
             }
             if self.parser.is_oversized() {
-                return Err(stream_error("an event is longer than any endpoint sends"));
+                return Err(stream_error("an event exceeds the maximum size"));
             }
             let mut chunk = [0; CHUNK_BYTES];
             match self.response.inner.read(&mut chunk).await {
-                Ok(0) => return Err(stream_error("it ended without the end mark")),
+                Ok(0) => return Err(stream_error("it ended without an end event")),
                 Ok(count) => self.parser.feed(&chunk[..count]),
                 Err(error) => return Err(stream_error(&error.to_string())),
             }
@@ -239,9 +239,9 @@
             return Ok(None);
         }
         let chunk: EngineChunk<'_> = serde_json::from_str(&event.data)
-            .map_err(|error| stream_error(&format!("an event is no chunk: {error}")))?;
+            .map_err(|error| stream_error(&format!("an event is not a valid chunk: {error}")))?;
         let position = match &event.id {
-            Some(id) => id.parse().map_err(|_error| stream_error("an event's id is no position"))?,
+            Some(id) => id.parse().map_err(|_error| stream_error("an event's id is not a position"))?,
             None => self.position,
         };
         let Some(choice) = chunk.choices.first() else {
@@ -270,9 +270,9 @@
 }
 
 fn decoding_error(error: &dyn std::fmt::Display) -> Error {
-    Error::new(ErrorKind::Internal, format!("a message was not understood: {error}"))
+    Error::new(ErrorKind::Internal, format!("a message could not be encoded or decoded: {error}"))
 }
 
 fn stream_error(detail: &str) -> Error {
-    Error::new(ErrorKind::OutcomeUnknown, format!("the stream broke: {detail}"))
+    Error::new(ErrorKind::OutcomeUnknown, format!("the endpoint's stream failed: {detail}"))
 }
--- a/crates/hollyhook_wire/src/api/stream_writer.rs
+++ b/crates/hollyhook_wire/src/api/stream_writer.rs
@@ -33,7 +33,7 @@
         (self.style == ApiStyle::Chat).then(|| format!("{}\"choices\":[{choice}]}}\n\n", self.event_prefix))
     }
 
-    /// The event of a token; its `id` is the cursor that resumes the stream behind this token.
+    /// The event of a token; its `id` is the cursor that resumes the stream after this token.
     pub fn token(&self, text: &str, cursor: &str) -> String {
         let mut event = String::with_capacity(self.event_prefix.len() + cursor.len() + text.len() + 96);
         event.push_str("id: ");
--- a/crates/hollyhook_wire/src/http/http_client.rs
+++ b/crates/hollyhook_wire/src/http/http_client.rs
@@ -67,7 +67,7 @@
         match select(std::pin::pin!(fetch), expiry).await {
             Either::Left((outcome, _)) => outcome,
             Either::Right(_) => {
-                let message = format!("no whole answer from {address} within {} ms", limit.as_millis());
+                let message = format!("no complete response from {address} within {} ms", limit.as_millis());
                 Err(Error::new(ErrorKind::OutcomeUnknown, message))
             }
         }
@@ -96,7 +96,7 @@
         match select(std::pin::pin!(exchange), expiry).await {
             Either::Left((outcome, _)) => outcome,
             Either::Right(_) => {
-                let message = format!("no whole answer within {} ms", limit.as_millis());
+                let message = format!("no complete response within {} ms", limit.as_millis());
                 Err(Error::new(ErrorKind::OutcomeUnknown, message))
             }
         }
@@ -145,5 +145,5 @@
 }
 
 fn connection_error(error: &http_types::Error) -> Error {
-    Error::new(ErrorKind::OutcomeUnknown, format!("the connection broke before the whole answer: {error}"))
+    Error::new(ErrorKind::OutcomeUnknown, format!("the connection failed before the response was complete: {error}"))
 }
--- a/crates/hollyhook_wire/src/http/http_server.rs
+++ b/crates/hollyhook_wire/src/http/http_server.rs
@@ -140,7 +140,7 @@
         let gate = self.gate.clone();
         let permit = gate.admit_connection(limits.connections);
         task::spawn(async move {
-            // A token is a small write, which Nagle's algorithm would hold back to combine it with the next one.
+            // A token is a small write, which Nagle's algorithm would hold back to combine it with the next write.
             let _unsupported = stream.set_nodelay(true);
             if permit.is_none() {
                 let error = Error::new(ErrorKind::Overloaded, "this host has too many open connections")
--- a/crates/hollyhook_wire/src/http/limited_stream.rs
+++ b/crates/hollyhook_wire/src/http/limited_stream.rs
@@ -24,7 +24,7 @@
 /// A connection to a caller that is read under size limits and timeouts.
 ///
 /// [`next_head`](Self::next_head) receives and checks one request head. The HTTP library then reads the head and the body
-/// from here; unless the body is chunked, it can't read beyond the body from the connection.
+/// from this stream; unless the body is chunked, it can't read beyond the body from the connection.
 #[derive(Debug, Clone)]
 pub(super) struct LimitedStream {
     stream: TcpStream,
@@ -33,7 +33,7 @@
 
 #[derive(Debug)]
 struct LimitState {
-    /// Received bytes: the head, and what arrived with it. The HTTP library has read the first `consumed` of them.
+    /// Received bytes: the head, and the bytes received along with it. The HTTP library has read the first `consumed` of them.
     buffered: Vec<u8>,
     consumed: usize,
     /// The number of body bytes still to be read from the connection; `None` if the body is chunked.
@@ -97,7 +97,8 @@
     pub(super) async fn closed(&self) {
         const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
         let mut probe = [0; 1];
-        // Unread data is a body or the next request. The end of the connection shows only once that has been read.
+        // Unread data is a body or the next request. `peek` detects the end of the connection only after
+        // that data has been read.
         while let Ok(1..) = self.stream.peek(&mut probe).await {
             Timer::after(RECHECK_INTERVAL).await;
         }
@@ -107,7 +108,7 @@
         &self.stream
     }
 
-    /// Takes the bytes that arrived behind the previous request.
+    /// Takes the bytes that arrived after the previous request.
     fn take_buffered(&self) -> Vec<u8> {
         let mut state = self.lock();
         let consumed = state.consumed;
--- a/crates/hollyhook_wire/src/peer/peer_calls.rs
+++ b/crates/hollyhook_wire/src/peer/peer_calls.rs
@@ -109,7 +109,7 @@
 
 /// Accepts connections of peers and answers their calls until the future is dropped.
 ///
-/// Connections that are open then are still served.
+/// Connections that are open when the future is dropped continue to be served.
 pub async fn serve_peers(listener: TcpListener, server: PeerServer) {
     const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
     loop {
--- a/crates/hollyhook_wire/src/sse/sse_parser.rs
+++ b/crates/hollyhook_wire/src/sse/sse_parser.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// Applies a line to the event; returns `false` if the line is no field that this parser uses.
+/// Applies a line to the event; returns `false` if the line is not a field that this parser uses.
 fn apply_field(event: &mut SseEvent, line: &str) -> bool {
     let (field, value) = line.split_once(':').unwrap_or((line, ""));
     let value = value.strip_prefix(' ').unwrap_or(value);
