--- a/crates/hollyhook_core/src/retry/resume_gate.rs
+++ b/crates/hollyhook_core/src/retry/resume_gate.rs
@@ -1,10 +1,10 @@
 use std::collections::BTreeSet;
 
-/// A resume's position in the queue: ordered by urgency, the lowest number first, then by age.
+/// A resume's position in the queue: ordered by priority, the lowest number first, then by age.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ResumeTicket {
-    /// The urgency of the request class; 0 is the most urgent.
-    pub urgency: u8,
+    /// The priority of the request class; 0 is the highest.
+    pub priority: u8,
     /// The sequence number of the ticket at its gate.
     pub number: u64,
 }
@@ -34,9 +34,9 @@
     }
 
     /// Queues a resume and returns its ticket, which may be admitted at once: see [`is_admitted`](Self::is_admitted).
-    pub fn enter(&mut self, urgency: u8) -> ResumeTicket {
+    pub fn enter(&mut self, priority: u8) -> ResumeTicket {
         self.last_number += 1;
-        let ticket = ResumeTicket { urgency, number: self.last_number };
+        let ticket = ResumeTicket { priority, number: self.last_number };
         self.queued.insert(ticket);
         self.admit();
         ticket
--- a/crates/hollyhook_core/tests/fuzz/gate_fuzz.rs
+++ b/crates/hollyhook_core/tests/fuzz/gate_fuzz.rs
@@ -5,7 +5,7 @@
 
 use crate::harness::fuzz;
 
-/// The gate admits as many resumes as the limit allows, loses none, and admits queued ones by urgency, then by age.
+/// The gate admits as many resumes as the limit allows, loses none, and admits queued ones by priority, then by age.
 #[test]
 fn resume_gate_order() {
     let steps = proptest::collection::vec((0..3_u8, any::<usize>(), 0..3_u8), 1..60);
@@ -13,9 +13,9 @@
         const LIMIT: usize = 3;
         let mut gate = ResumeGate::new(LIMIT);
         let mut tickets: Vec<ResumeTicket> = Vec::new();
-        for (action, pick, urgency) in steps {
+        for (action, pick, priority) in steps {
             if action < 2 {
-                tickets.push(gate.enter(urgency));
+                tickets.push(gate.enter(priority));
             } else if !tickets.is_empty() {
                 let ticket = tickets.remove(pick % tickets.len());
                 gate.leave(ticket);
@@ -28,7 +28,7 @@
             );
             assert_eq!((gate.admitted(), gate.queued()), (admitted.len(), tickets.len() - admitted.len()));
         }
-        // Drains the gate: queued resumes are admitted by urgency, then by age.
+        // Drains the gate: queued resumes are admitted by priority, then by age.
         let mut order = Vec::new();
         while let Some(index) = tickets.iter().position(|ticket| gate.is_admitted(*ticket)) {
             order.extend(gate.leave(tickets.remove(index)));
