--- a/crates/hollyhook_settings/src/gateway/gateway_bounds.rs
+++ b/crates/hollyhook_settings/src/gateway/gateway_bounds.rs
@@ -9,15 +9,15 @@
 /// Limits that the operator of the platform sets on a gateway's behaviour.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatewayBounds {
-    /// Maximum time after the revocation of an API key during which requests with the key may still be accepted.
+    /// Maximum time for which requests with an API key may still be accepted after the key was revoked.
     pub revoke: Duration,
-    /// Maximum time after an endpoint announced that it is leaving during which it may still get new requests.
+    /// Maximum time for which an endpoint may still get new requests after it announced that it is leaving.
     pub drain: Duration,
-    /// Maximum time after a new configuration version was accepted during which requests may still be handled according
-    /// to the previous version.
+    /// Maximum time for which requests may still be handled according to the previous configuration version after a new
+    /// version was accepted.
     pub config: Duration,
-    /// Maximum time, once a host can reach the store again after an outage, until the host acts on all changes that the
-    /// store acknowledged before the end of the outage.
+    /// Maximum time that a host may take, once it can reach the store again, until it acts on all changes that the store
+    /// acknowledged before.
     pub contact: Duration,
     /// Maximum time for which the process may keep running after SIGTERM.
     pub grace: Duration,
--- a/crates/hollyhook_settings/src/site/service_settings.rs
+++ b/crates/hollyhook_settings/src/site/service_settings.rs
@@ -5,7 +5,7 @@
 use crate::file::SectionReader;
 use crate::value;
 
-/// Urgency class of a service's requests.
+/// Class of a service's requests, which determines their priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RequestClass {
     /// Short answers that callers wait for.
@@ -37,7 +37,7 @@
 pub struct ServiceSettings {
     /// Its name.
     pub name: Name,
-    /// The urgency class of its requests.
+    /// The class of its requests.
     pub class: RequestClass,
     /// Its kind, with the settings specific to the kind.
     pub kind: ServiceKind,
@@ -48,7 +48,7 @@
 pub enum ServiceKind {
     /// Model engines.
     Generation(GenerationSettings),
-    /// Plain HTTP endpoints, which get each call with the caller's method, path, query and body.
+    /// Plain HTTP endpoints, to which calls are forwarded with their method, path, query and body unchanged.
     Plain(PlainSettings),
 }
 
--- a/crates/hollyhook_telemetry/src/metric/metric_recorder.rs
+++ b/crates/hollyhook_telemetry/src/metric/metric_recorder.rs
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Sends the metrics buffered for statsd, which are otherwise held back until they fill a datagram.
+    /// Sends the metrics buffered for statsd, which are otherwise sent only when they fill a datagram.
     pub fn flush(&self) {
         if let Some(statsd) = &self.statsd {
             let _dropped = statsd.flush();
--- a/crates/hollyhook_wire/src/api/caller_request.rs
+++ b/crates/hollyhook_wire/src/api/caller_request.rs
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// `InvalidJson` or `InvalidRequest`, with the field at fault and what it must be.
+    /// `InvalidJson` or `InvalidRequest`, with the field that is invalid and what it must be.
     pub fn parse(style: ApiStyle, bytes: &[u8]) -> Result<Self> {
         let body: Value = serde_json::from_slice(bytes).map_err(|error| {
             Error::new(ErrorKind::InvalidJson, format!("the body is not JSON: {error}")).param("body")
--- a/crates/hollyhook_wire/src/http/limited_stream.rs
+++ b/crates/hollyhook_wire/src/http/limited_stream.rs
@@ -33,7 +33,8 @@
 
 #[derive(Debug)]
 struct LimitState {
-    /// Received bytes: the head, and the bytes received along with it. The HTTP library has read the first `consumed` of them.
+    /// Received bytes: the head, and the bytes received along with it. The HTTP library has read the first `consumed` of
+    /// these bytes.
     buffered: Vec<u8>,
     consumed: usize,
     /// The number of body bytes still to be read from the connection; `None` if the body is chunked.
@@ -97,8 +98,8 @@
     pub(super) async fn closed(&self) {
         const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
         let mut probe = [0; 1];
-        // Unread data is a body or the next request. `peek` detects the end of the connection only after
-        // that data has been read.
+        // Unread data is a body or the next request. `peek` detects the end of the connection only after that data has
+        // been read.
         while let Ok(1..) = self.stream.peek(&mut probe).await {
             Timer::after(RECHECK_INTERVAL).await;
         }
