--- a/crates/hollyhook_daemon/src/front/plain.rs
+++ b/crates/hollyhook_daemon/src/front/plain.rs
@@ -38,8 +38,8 @@
         head: request.into(),
         body,
     };
-    // The call runs in a task of its own: even if the caller disconnects, the call completes and its answer can be stored
-    // for a repeat.
+    // The call runs in a task of its own: even if the caller disconnects, the call completes and its answer can be
+    // stored for a repeat.
     let response = task::spawn(CallDriver::new(context, call).run()).await?;
     Ok(response.into())
 }
--- a/crates/hollyhook_kernel/src/timer/clock.rs
+++ b/crates/hollyhook_kernel/src/timer/clock.rs
@@ -15,8 +15,8 @@
 
 /// The monotonic clock of the machine, which counts the time for which the machine is suspended.
 ///
-/// The standard library's `Instant` does not count this time. A host that resumes must know that its deadlines have passed
-/// and that its information on other processes is out of date.
+/// The standard library's `Instant` does not count this time. A host that resumes must know that its deadlines have
+/// passed and that its information on other processes is out of date.
 #[derive(Debug, Clone, Copy)]
 pub struct SystemClock {
     start: Duration,
--- a/crates/hollyhook_settings/src/gateway/gateway_bounds.rs
+++ b/crates/hollyhook_settings/src/gateway/gateway_bounds.rs
@@ -16,8 +16,8 @@
     /// Maximum time for which requests may still be handled according to the previous configuration version after a new
     /// version was accepted.
     pub config: Duration,
-    /// Maximum time that a host may take, once it can reach the store again, until it acts on all changes that the store
-    /// acknowledged before.
+    /// Maximum time that a host may take, once it can reach the store again, until it acts on all changes that the
+    /// store acknowledged before.
     pub contact: Duration,
     /// Maximum time for which the process may keep running after SIGTERM.
     pub grace: Duration,
--- a/crates/hollyhook_settings/src/gateway/gateway_settings.rs
+++ b/crates/hollyhook_settings/src/gateway/gateway_settings.rs
@@ -21,8 +21,8 @@
     pub ready_listen: SocketAddr,
     /// The address on which the gateway serves metrics; `None` if metrics are not served.
     pub metrics_listen: Option<SocketAddr>,
-    /// The address on which the gateway serves its copy of the store's contents to other hosts; `None` if the copy is not
-    /// served.
+    /// The address on which the gateway serves its copy of the store's contents to other hosts; `None` if the copy is
+    /// not served.
     pub peer_listen: Option<SocketAddr>,
     /// The address of the platform's store.
     pub store: SocketAddr,
--- a/crates/hollyhook_wire/src/api/caller_client.rs
+++ b/crates/hollyhook_wire/src/api/caller_client.rs
@@ -61,8 +61,8 @@
     ///
     /// # Errors
     ///
-    /// `NotRun` if the host could not be reached; `OutcomeUnknown` if the connection failed or the error response is not
-    /// valid.
+    /// `NotRun` if the host could not be reached; `OutcomeUnknown` if the connection failed or the error response is
+    /// not valid.
     pub async fn stream(
         &self,
         style: ApiStyle,
--- a/crates/hollyhook_wire/src/api/caller_request.rs
+++ b/crates/hollyhook_wire/src/api/caller_request.rs
@@ -33,8 +33,8 @@
 
 /// A validated generation request.
 ///
-/// Endpoints receive the body's fields as the caller sent them; `EngineClient::open` changes those that concern streaming
-/// and adds its own.
+/// Endpoints receive the body's fields as the caller sent them; `EngineClient::open` changes those that concern
+/// streaming and adds its own.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallerRequest {
     /// The API call.
@@ -92,7 +92,8 @@
         })
     }
 
-    /// The estimated number of prompt tokens: the number of words, which is how the endpoints of this system count tokens.
+    /// The estimated number of prompt tokens: the number of words, which is how the endpoints of this system count
+    /// tokens.
     ///
     /// It serves to reject requests early; the endpoint's own check decides.
     pub fn prompt_tokens(&self) -> u64 {
--- a/crates/hollyhook_wire/src/api/engine_client.rs
+++ b/crates/hollyhook_wire/src/api/engine_client.rs
@@ -147,8 +147,8 @@
     ///
     /// # Errors
     ///
-    /// `NotRun` if the connection could not be opened, `OutcomeUnknown` if no response arrived within `limit`, `Internal`
-    /// if the response is not valid.
+    /// `NotRun` if the connection could not be opened, `OutcomeUnknown` if no response arrived within `limit`,
+    /// `Internal` if the response is not valid.
     pub async fn load(&self, address: SocketAddr, limit: Duration) -> Result<EngineLoad> {
         let get = request_to(Method::Get, address, "/v1/load")?;
         let (_status, body) = self.http.fetch(address, get, limit).await?;
--- a/crates/hollyhook_wire/src/http/body_sender.rs
+++ b/crates/hollyhook_wire/src/http/body_sender.rs
@@ -44,8 +44,8 @@
 ///
 /// # Errors
 ///
-/// `BodyTooLarge` if the body exceeds the limit, `RequestTimeout` if reading it times out, `InvalidRequest` if reading it
-/// fails in any other way.
+/// `BodyTooLarge` if the body exceeds the limit, `RequestTimeout` if reading it times out, `InvalidRequest` if reading
+/// it fails in any other way.
 pub async fn read_body(body: Body, limit: usize) -> Result<Vec<u8>> {
     let mut bytes = Vec::new();
     let outcome = body.take(limit as u64 + 1).read_to_end(&mut bytes).await;
--- a/crates/hollyhook_wire/src/http/http_client.rs
+++ b/crates/hollyhook_wire/src/http/http_client.rs
@@ -79,8 +79,8 @@
     ///
     /// # Errors
     ///
-    /// `OutcomeUnknown` if the connection failed or the response is not complete within `limit`; the request may have been
-    /// executed.
+    /// `OutcomeUnknown` if the connection failed or the response is not complete within `limit`; the request may have
+    /// been executed.
     pub async fn exchange(&self, stream: TcpStream, request: Request, limit: Duration) -> Result<Response> {
         let exchange = async {
             let mut response = send_on(stream, request).await?;
--- a/crates/hollyhook_wire/src/http/http_server.rs
+++ b/crates/hollyhook_wire/src/http/http_server.rs
@@ -124,7 +124,8 @@
             let drain = std::pin::pin!(self.gate.wait_draining());
             match select(accept, drain).await {
                 Either::Left((Ok((stream, _peer)), _)) => self.spawn(stream, Arc::clone(&handler)),
-                // Most likely no file descriptors are left. Open connections continue, and closing them frees descriptors.
+                // Most likely no file descriptors are left. Open connections continue, and closing them frees
+                // descriptors.
                 Either::Left((Err(_), _)) => task::sleep(ACCEPT_RETRY_DELAY).await,
                 Either::Right(((), _)) => return,
             }
--- a/crates/hollyhook_wire/src/http/limited_stream.rs
+++ b/crates/hollyhook_wire/src/http/limited_stream.rs
@@ -23,8 +23,8 @@
 
 /// A connection to a caller that is read under size limits and timeouts.
 ///
-/// [`next_head`](Self::next_head) receives and checks one request head. The HTTP library then reads the head and the body
-/// from this stream; unless the body is chunked, it can't read beyond the body from the connection.
+/// [`next_head`](Self::next_head) receives and checks one request head. The HTTP library then reads the head and the
+/// body from this stream; unless the body is chunked, it can't read beyond the body from the connection.
 #[derive(Debug, Clone)]
 pub(super) struct LimitedStream {
     stream: TcpStream,
@@ -33,8 +33,8 @@
 
 #[derive(Debug)]
 struct LimitState {
-    /// Received bytes: the head, and the bytes received along with it. The HTTP library has read the first `consumed` of
-    /// these bytes.
+    /// Received bytes: the head, and the bytes received along with it. The HTTP library has read the first `consumed`
+    /// of these bytes.
     buffered: Vec<u8>,
     consumed: usize,
     /// The number of body bytes still to be read from the connection; `None` if the body is chunked.
@@ -65,8 +65,8 @@
     ///
     /// # Errors
     ///
-    /// `HeadTooLarge` if the head is incomplete after more than `limit` bytes, `RequestTimeout` if the rest does not arrive
-    /// in time, and the errors of [`RequestHead::parse`].
+    /// `HeadTooLarge` if the head is incomplete after more than `limit` bytes, `RequestTimeout` if the rest does not
+    /// arrive in time, and the errors of [`RequestHead::parse`].
     pub(super) async fn next_head(&self, limit: usize, idle: Duration) -> Result<HeadOutcome> {
         let mut bytes = self.take_buffered();
         let mut deadline = Timer::after(if bytes.is_empty() { idle } else { self.lock().read_timeout });
--- a/crates/hollyhook_wire/src/http/request_head.rs
+++ b/crates/hollyhook_wire/src/http/request_head.rs
@@ -20,8 +20,8 @@
     ///
     /// # Errors
     ///
-    /// `MalformedHead` if the head is not valid HTTP/1, does not have exactly one `Host` field or leaves the length of the
-    /// body ambiguous; `HeadTooLarge` if it has more than [`MAX_FIELDS`] fields.
+    /// `MalformedHead` if the head is not valid HTTP/1, does not have exactly one `Host` field or leaves the length of
+    /// the body ambiguous; `HeadTooLarge` if it has more than [`MAX_FIELDS`] fields.
     pub(super) fn parse(head: &[u8]) -> Result<Self> {
         let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut request = httparse::Request::new(&mut fields);
