--- a/crates/hollyhook_wire/src/api/caller_client.rs
+++ b/crates/hollyhook_wire/src/api/caller_client.rs
@@ -24,7 +24,7 @@
 pub enum CallerItem {
     /// A token.
     Token {
-        /// The cursor that resumes the stream behind this token.
+        /// The cursor that resumes the stream after this token.
         cursor: String,
         /// The token's text.
         text: String,
@@ -61,8 +61,8 @@
     ///
     /// # Errors
     ///
-    /// `NotRun` if the host could not be reached; `OutcomeUnknown` if the connection failed or the error response is not
-    /// valid.
+    /// `NotRun` if the host could not be reached; `OutcomeUnknown` if the connection failed or the error response is
+    /// not valid.
     pub async fn stream(
         &self,
         style: ApiStyle,
--- a/crates/hollyhook_wire/src/api/caller_request.rs
+++ b/crates/hollyhook_wire/src/api/caller_request.rs
@@ -33,8 +33,8 @@
 
 /// A validated generation request.
 ///
-/// Endpoints receive the body's fields as the caller sent them; `EngineClient::open` changes those that concern streaming
-/// and adds its own.
+/// Endpoints receive the body's fields as the caller sent them; `EngineClient::open` changes those that concern
+/// streaming and adds its own.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallerRequest {
     /// The API call.
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// `InvalidJson` or `InvalidRequest`, with the field at fault and what it must be.
+    /// `InvalidJson` or `InvalidRequest`, with the field that is invalid and what it must be.
     pub fn parse(style: ApiStyle, bytes: &[u8]) -> Result<Self> {
         let body: Value = serde_json::from_slice(bytes).map_err(|error| {
             Error::new(ErrorKind::InvalidJson, format!("the body is not JSON: {error}")).param("body")
@@ -69,7 +69,7 @@
             return Err(invalid("body", "the body must be a JSON object"));
         };
         let reader = FieldReader { body: &body };
-        reader.refuse_unsupported()?;
+        reader.reject_unsupported()?;
         let max_tokens = match reader.count("max_completion_tokens")? {
             Some(number) => number,
             None => reader.count("max_tokens")?.unwrap_or(DEFAULT_MAX_TOKENS),
@@ -92,7 +92,8 @@
         })
     }
 
-    /// The estimated number of prompt tokens: the number of words, which is how the endpoints of this system count tokens.
+    /// The estimated number of prompt tokens: the number of words, which is how the endpoints of this system count
+    /// tokens.
     ///
     /// It serves to reject requests early; the endpoint's own check decides.
     pub fn prompt_tokens(&self) -> u64 {
@@ -179,7 +180,7 @@
     }
 
     /// Rejects options that a single resumable stream of tokens can't satisfy, rather than ignoring them.
-    fn refuse_unsupported(&self) -> Result<()> {
+    fn reject_unsupported(&self) -> Result<()> {
         for name in ["n", "best_of"] {
             if self.count(name)?.is_some_and(|number| number != 1) {
                 return Err(invalid(name, &format!("`{name}` must be 1: a request is one generation")));
--- a/crates/hollyhook_wire/src/http/http_server.rs
+++ b/crates/hollyhook_wire/src/http/http_server.rs
@@ -124,7 +124,8 @@
             let drain = std::pin::pin!(self.gate.wait_draining());
             match select(accept, drain).await {
                 Either::Left((Ok((stream, _peer)), _)) => self.spawn(stream, Arc::clone(&handler)),
-                // Most likely no file descriptors are left. Open connections continue, and closing them frees descriptors.
+                // Most likely no file descriptors are left. Open connections continue, and closing them frees
+                // descriptors.
                 Either::Left((Err(_), _)) => task::sleep(ACCEPT_RETRY_DELAY).await,
                 Either::Right(((), _)) => return,
             }
@@ -140,7 +141,7 @@
         let gate = self.gate.clone();
         let permit = gate.admit_connection(limits.connections);
         task::spawn(async move {
-            // A token is a small write, which Nagle's algorithm would hold back to combine it with the next one.
+            // A token is a small write, which Nagle's algorithm would hold back to combine it with the next write.
             let _unsupported = stream.set_nodelay(true);
             if permit.is_none() {
                 let error = Error::new(ErrorKind::Overloaded, "this host has too many open connections")
