--- a/crates/hollyhook_command/src/load/failure_stream.rs
+++ b/crates/hollyhook_command/src/load/failure_stream.rs
@@ -10,7 +10,7 @@
 
 use crate::fixture::LocalFleet;
 
-/// Time for which the naive client waits for a response or a token before it turns to the next engine.
+/// Time for which the naive client waits for a response or a token before the client switches to the next engine.
 const NAIVE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum number of attempts of the naive client for one stream.
 const MAX_NAIVE_ATTEMPTS: usize = 10;
@@ -20,7 +20,7 @@
 pub(super) enum StreamClient {
     /// Through a daemon.
     Daemon(CallerClient),
-    /// Directly from the engines, each attempt at the next one and from the beginning.
+    /// Directly from the engines, each attempt at the next engine and from the first token.
     Naive(Vec<SocketAddr>),
 }
 
--- a/crates/hollyhook_command/src/load/overhead.rs
+++ b/crates/hollyhook_command/src/load/overhead.rs
@@ -50,6 +50,7 @@
 /// Results of one run, directly at the engine or through the daemon.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 struct OverheadRow {
+    /// `direct` to the engine, or through the `daemon`.
     way: &'static str,
     streams: usize,
     tokens: u64,
@@ -84,8 +85,8 @@
         );
     }
     for streams in &args.streams {
-        let direct = run_way(&args, "direct", *streams).await?;
-        let daemon = run_way(&args, "daemon", *streams).await?;
+        let direct = measure_run(&args, "direct", *streams).await?;
+        let daemon = measure_run(&args, "daemon", *streams).await?;
         for row in [direct, daemon] {
             print_row(&args, &row)?;
         }
@@ -115,7 +116,7 @@
     Ok(())
 }
 
-async fn run_way(args: &OverheadArgs, way: &'static str, streams: usize) -> Result<OverheadRow> {
+async fn measure_run(args: &OverheadArgs, way: &'static str, streams: usize) -> Result<OverheadRow> {
     let is_daemon = way == "daemon";
     let address = if is_daemon { args.daemon } else { args.engine };
     let client = CallerClient::new(address, args.key.as_str());
--- a/crates/hollyhook_command/src/load/placement/engine_model.rs
+++ b/crates/hollyhook_command/src/load/placement/engine_model.rs
@@ -8,7 +8,7 @@
 const STEP_US_PER_REQUEST: u64 = 160;
 /// Prompt tokens that are read between two steps.
 const CHUNK_TOKENS: u64 = 200;
-/// Time to read them, in microseconds.
+/// Time to read a chunk of [`CHUNK_TOKENS`], in microseconds.
 const CHUNK_US: u64 = 25_000;
 /// Tokens that one event of a stream carries.
 const EVENT_TOKENS: u64 = 7;
--- a/crates/hollyhook_command/src/load/placement/fleet_model.rs
+++ b/crates/hollyhook_command/src/load/placement/fleet_model.rs
@@ -35,7 +35,7 @@
     /// Seconds during which generations arrive.
     pub(super) seconds: u64,
     /// Whether the zones crash in turn, one every six seconds.
-    pub(super) has_losses: bool,
+    pub(super) has_zone_crashes: bool,
     pub(super) seed: u64,
 }
 
@@ -44,7 +44,8 @@
 pub(super) struct FleetOutcome {
     /// Time to the first event of each generation that had one.
     pub(super) first_us: Vec<u64>,
-    /// Longest time between two events of each generation that ended.
+    /// Longest time between two events of each generation that ended, capped at 45 s, which is also recorded if the
+    /// first event missed its objective.
     pub(super) longest_gaps_us: Vec<u64>,
     /// Generations that met both objectives.
     pub(super) in_time: usize,
@@ -75,7 +76,7 @@
     longest_gap_us: u64,
     host: usize,
     engine: usize,
-    /// Identifies the prompt; it determines the order of the engines that all hosts share.
+    /// Key of the prompt, which determines an order of the engines that is the same at all hosts.
     prompt_key: u64,
 }
 
@@ -104,7 +105,7 @@
     };
     fleet.queue.push(Reverse((0, FleetEvent::Arrival)));
     fleet.queue.push(Reverse((0, FleetEvent::Report)));
-    if scenario.has_losses {
+    if scenario.has_zone_crashes {
         fleet.queue.push(Reverse((5_000_000, FleetEvent::ZoneCrash(0))));
     }
     while let Some(Reverse((now_us, event))) = fleet.queue.pop() {
@@ -128,7 +129,7 @@
                 self.record_reports(now_us);
                 self.queue.push(Reverse((now_us + REPORT_INTERVAL_US, FleetEvent::Report)));
             }
-            // Neither continues after the end of the arrivals.
+            // After the end of the arrivals, neither arrivals nor reports are scheduled again.
             FleetEvent::Arrival | FleetEvent::Report => {}
             FleetEvent::ZoneCrash(zone) => self.crash_zone(now_us, zone, end_us),
         }
@@ -161,7 +162,7 @@
     }
 
     fn step(&mut self, now_us: u64, engine: usize) {
-        // The step belongs to the time before a crash of the engine.
+        // The step was scheduled before the engine crashed, and the crash cancelled it.
         if self.engines[engine].step_end_us != Some(now_us) {
             return;
         }
--- a/crates/hollyhook_command/src/load/placement/host_model.rs
+++ b/crates/hollyhook_command/src/load/placement/host_model.rs
@@ -16,8 +16,8 @@
     TwoChoices,
     /// The engine with the fewest open requests of this host.
     LeastOpen,
-    /// The gateway's policy: asks engines for load reports, two in the order that all hosts share for the prompt and
-    /// two outside the zone of the first, and chooses by the reports.
+    /// The gateway's policy: fetches load reports from up to four engines and chooses by the reports. Two engines come
+    /// from an order that all hosts share for the prompt, two from outside the zone of the first engine.
     AskTwo,
 }
 
@@ -39,8 +39,8 @@
         Self { table, engine_count: engines, last_turn: zone }
     }
 
-    /// Chooses an engine for a prompt, given as its key and its tokens with the output, and records the request as open
-    /// there.
+    /// Chooses an engine for a prompt, given as its key and the sum of its prompt and output tokens, and records the
+    /// request as open there.
     ///
     /// An engine that is down refuses the connection: the host records the failure and chooses again, at most once per
     /// engine; after that the request goes to engine 0.
--- a/crates/hollyhook_command/src/load/placement/placement_run.rs
+++ b/crates/hollyhook_command/src/load/placement/placement_run.rs
@@ -57,7 +57,7 @@
 pub(crate) fn run_placement(args: &PlacementArgs) -> Result<ExitCode> {
     let mut rows = Vec::new();
     for load in &args.loads {
-        for has_losses in [false, true] {
+        for has_zone_crashes in [false, true] {
             for policy in PlacementPolicy::value_variants() {
                 let scenario = FleetScenario {
                     policy: *policy,
@@ -65,7 +65,7 @@
                     zones: args.zones as usize,
                     rate: args.engines as f64 * ENGINE_RATE * *load as f64 / 100.0,
                     seconds: args.seconds,
-                    has_losses,
+                    has_zone_crashes,
                     seed: args.seed,
                 };
                 rows.push(row(&scenario, *load, simulate(scenario)));
@@ -91,7 +91,7 @@
     let policy = scenario.policy.to_possible_value().map(|value| value.get_name().to_owned());
     PlacementRow {
         load,
-        losses: scenario.has_losses,
+        losses: scenario.has_zone_crashes,
         policy: policy.unwrap_or_default(),
         in_time_percent: 100.0 * outcome.in_time as f64 / outcome.total.max(1) as f64,
         first_p50_ms: quantile(&outcome.first_us, 0.5),
--- a/crates/hollyhook_command/src/view/log_view.rs
+++ b/crates/hollyhook_command/src/view/log_view.rs
@@ -106,7 +106,7 @@
     let last = log.lines.iter().rposition(|line| line.is_about(request));
     let _written = writeln!(text, "{}:", log.name);
     if log.invalid_lines > 0 {
-        let _written = writeln!(text, "  ({} lines are not log lines)", log.invalid_lines);
+        let _written = writeln!(text, "  ({} lines are not JSON objects)", log.invalid_lines);
     }
     let (Some(first), Some(last)) = (first, last) else {
         write_failed_attempts(log, endpoints, text);
