--- a/crates/hollyhook/tests/processes/generations.rs
+++ b/crates/hollyhook/tests/processes/generations.rs
@@ -68,7 +68,7 @@
         let busy = fleet.busy_engine().await;
         fleet.engines[busy].signal(Signal::SIGSTOP);
         reader.read_to(80).await;
-        // The stopped engine continues after another one has taken over its generation.
+        // The stopped engine continues after another engine has taken over the generation.
         fleet.engines[busy].signal(Signal::SIGCONT);
         reader.read_all().await;
         assert_complete(PROMPT, &reader.tokens, 120);
--- a/crates/hollyhook_command/src/load/failures.rs
+++ b/crates/hollyhook_command/src/load/failures.rs
@@ -84,7 +84,8 @@
 enum PolicyPlan {
     FavourLatency,
     FavourWork,
-    /// Requests sent directly to the engines, restarted from the beginning after a reset or 5 s without a token.
+    /// Requests sent directly to the engines, restarted at the next engine from the first token after an error or 5 s
+    /// without a response or token.
     Naive,
 }
 
--- a/crates/hollyhook_standin/src/fault/fault_state.rs
+++ b/crates/hollyhook_standin/src/fault/fault_state.rs
@@ -72,7 +72,7 @@
         self.has_outage.load(Ordering::SeqCst)
     }
 
-    /// Returns whether the current reply is to be lost, and counts it off the replies still to be lost.
+    /// Returns whether the current reply is to be lost, and if so, decrements the number of replies to lose.
     pub(crate) fn take_lost_reply(&self) -> bool {
         let decremented = |left: u64| left.checked_sub(1);
         self.replies_to_lose.fetch_update(Ordering::SeqCst, Ordering::SeqCst, decremented).is_ok()
